--- a/sycamoreshed/forwarding/forwarder.py
+++ b/sycamoreshed/forwarding/forwarder.py
@@ -75,7 +75,7 @@
     Parameters
     ----------
     parts : Parts
-    stages : Stages
+    stages : StageRunner
     """
 
     def __init__(self, *, parts, stages):
@@ -167,9 +167,9 @@
                 for stage, count in zip(stages, counts, strict=True)
             ],
             key=request.head.piece_key,
-            aim_s=aim_s,
-            until_s=until_s,
-            limit_s=limit_s,
+            target_s=aim_s,
+            soft_limit_s=until_s,
+            hard_limit_s=limit_s,
             team=request.team.name if request.team else None,
             team_priority=request.priority.team,
             priority=request.priority.route,
@@ -181,7 +181,7 @@
             shared_tokens=request.shared_tokens,
             body_bytes=len(request.body),
         )
-        return await self._stages.run(job, kept, wanted_in=zone)
+        return await self._stages.run(job, kept, engine_zone=zone)
 
     async def _attempt(self, request, tries, sink):
         result = await tries.open()
--- a/sycamoreshed/forwarding/tests/test_forwarder.py
+++ b/sycamoreshed/forwarding/tests/test_forwarder.py
@@ -14,7 +14,7 @@
     def __init__(self):
         self.runs = 0
 
-    async def run(self, _job, kept, *, wanted_in):
+    async def run(self, _job, kept, *, engine_zone):
         """Make a result."""
         self.runs += 1
         kept.append(f"h{self.runs}")
--- a/sycamoreshed/gateway/inner.py
+++ b/sycamoreshed/gateway/inner.py
@@ -20,7 +20,7 @@
     ----------
     catalog : Catalog
     watch_server : WatchServer
-    stages : Stages
+    stages : StageRunner
     metrics : GatewayMetrics
     clock : callable
     status : callable
@@ -58,16 +58,18 @@
         job = msgspec.json.decode(await http.read(), type=pieces.Job)
         self.in_flight += 1
         try:
-            return _json(await self._stages.run_here(job, http.query["zone"]))
+            return _json(
+                await self._stages.run_locally(job, http.query["zone"])
+            )
         finally:
             self.in_flight -= 1
 
     async def free(self, http):
         """Give up results."""
         freed = msgspec.json.decode(
-            await http.read(), type=list[delegation.Freed]
+            await http.read(), type=list[delegation.FreedResult]
         )
-        self._stages.free_here(http.query["zone"], freed)
+        self._stages.free_locally(http.query["zone"], freed)
         return web.Response(status=204)
 
     async def metrics(self, _http):
--- a/sycamoreshed/platform/calls.py
+++ b/sycamoreshed/platform/calls.py
@@ -248,7 +248,7 @@
             "id": each.request,
             "phase": each.stage,
             "segment": each.index,
-            "remaining_ms": max(1, int((each.until - now) * 1000)),
+            "remaining_ms": max(1, int((each.deadline - now) * 1000)),
         }
         if each.inputs:
             item["inputs"] = list(each.inputs)
--- a/sycamoreshed/platform/tests/test_calls.py
+++ b/sycamoreshed/platform/tests/test_calls.py
@@ -94,8 +94,8 @@
     Given a key instead of its inputs, it would be made from nothing of
     its request.
     """
-    first = pieces.Piece("r", 0, 1, until=2.0, key="k")
-    later = pieces.Piece("r", 1, 0, until=2.0, inputs=("h",))
+    first = pieces.Piece("r", 0, 1, deadline=2.0, key="k")
+    later = pieces.Piece("r", 1, 0, deadline=2.0, inputs=("h",))
     _, headers, body = calls.piece_call([first, later], endpoint="i", now=1.0)
     assert headers["X-Sycamoreshed-Expect-Instance"] == "i"
     assert body == (
--- a/sycamoreshed/staging/batching.py
+++ b/sycamoreshed/staging/batching.py
@@ -201,8 +201,8 @@
         """Return when a piece should be done for its job to be in time."""
         plan = self._plan_of.get((piece.request, piece.stage))
         if plan is None:
-            return piece.until
-        return piece.until - (plan.until - plan.aim)
+            return piece.deadline
+        return piece.deadline - (plan.deadline - plan.aim)
 
     def _send_next(self):
         now = self._clock()
--- a/sycamoreshed/staging/coordinator.py
+++ b/sycamoreshed/staging/coordinator.py
@@ -91,7 +91,7 @@
         try:
             # A call that began in time may end a little later; who asked
             # waits no longer than that either.
-            async with limits.limit(plan.until - now + GRACE_S):
+            async with limits.limit(plan.deadline - now + GRACE_S):
                 result = await self._run(plan)
             if not isinstance(result, kinds.Failure):
                 self._plans.done(plan, self._clock())
@@ -130,8 +130,8 @@
             request=job.request,
             zone=self._zone,
             pieces=[stage.count for stage in job.stages],
-            aim_s=round(job.aim_s, 3),
-            until_s=round(job.until_s, 3),
+            aim_s=round(job.target_s, 3),
+            until_s=round(job.soft_limit_s, 3),
             is_late=plan is None or plan.is_late,
             backlog_s={
                 name: round(each, 3)
@@ -231,7 +231,7 @@
                 request=job.request,
                 stage=index,
                 index=number,
-                until=run.plan.until - after,
+                deadline=run.plan.deadline - after,
                 key=None if inputs else job.key,
                 inputs=tuple(each.handle for each in inputs),
             )
--- a/sycamoreshed/staging/delegation.py
+++ b/sycamoreshed/staging/delegation.py
@@ -19,7 +19,7 @@
 from sycamoreshed.staging import coordinator
 from sycamoreshed.staging import pieces
 
-__all__ = ["FREE_PATH", "RUN_PATH", "Freed", "Stages"]
+__all__ = ["FREE_PATH", "RUN_PATH", "FreedResult", "StageRunner"]
 
 RUN_PATH = "/control/stages"
 FREE_PATH = "/control/results/free"
@@ -38,7 +38,7 @@
 MOST_ASKED = 3
 
 
-class Freed(typing.NamedTuple):
+class FreedResult(typing.NamedTuple):
     """A result that is given up, and the service that made it."""
 
     service: str
@@ -56,7 +56,7 @@
     held: pieces.Held
 
 
-class Stages:
+class StageRunner:
     """Has the stages of requests run, here or by another instance.
 
     Parameters
@@ -105,7 +105,7 @@
         self._told = {}
         self._origins = {}
 
-    async def run(self, job, kept, *, wanted_in):
+    async def run(self, job, kept, *, engine_zone):
         """Run the stages of a request.
 
         Parameters
@@ -114,7 +114,7 @@
         kept : list of str
             Gets the handles of results; `free` them when nobody needs
             them any more.
-        wanted_in : str
+        engine_zone : str
             Zone of the engine that will fetch them.
 
         Returns
@@ -130,18 +130,18 @@
         given = job
         for _ in range(MOST_ASKED):
             now = self._clock()
-            zone = self.choose_zone(job, now, wanted_in, avoid)
+            zone = self.choose_zone(job, now, engine_zone, avoid)
             if zone is None:
                 return kinds.Failure(
                     kinds.Kind.NO_ENDPOINT, "no endpoint for a stage"
                 )
             spent = now - began
             job = given._replace(
-                aim_s=given.aim_s - spent,
-                until_s=given.until_s - spent,
-                limit_s=given.limit_s - spent,
+                target_s=given.target_s - spent,
+                soft_limit_s=given.soft_limit_s - spent,
+                hard_limit_s=given.hard_limit_s - spent,
             )
-            if job.limit_s <= 0:
+            if job.hard_limit_s <= 0:
                 break
             done = await self._ask(job, zone)
             if not isinstance(done, kinds.Failure):
@@ -163,11 +163,11 @@
                 why=f"stages in {zone}: {failure.reason}",
                 budget=None,
             )
-        if job.limit_s <= 0:
+        if job.hard_limit_s <= 0:
             return kinds.Failure(kinds.Kind.HOPELESS, "no time for stages")
         return failure
 
-    async def run_here(self, job, zone):
+    async def run_locally(self, job, zone):
         """Run a job with the endpoints of a zone, by this instance."""
         return await self._coordinator(zone).run(job)
 
@@ -177,17 +177,17 @@
         for handle in handles:
             origin = self._origins.pop(handle, None)
             if origin is not None:
-                freed = Freed(origin.service, origin.held)
+                freed = FreedResult(origin.service, origin.held)
                 by_zone.setdefault(origin.zone, []).append(freed)
         for zone, freed in by_zone.items():
             name, control = self._owner(zone, self._clock())
             if name == self._own:
-                self.free_here(zone, freed)
+                self.free_locally(zone, freed)
             else:
                 call = self._free_there(zone, control, freed)
                 self._spawn(call, name="free results")
 
-    def free_here(self, zone, freed):
+    def free_locally(self, zone, freed):
         """Give up results in a zone that this instance coordinates."""
         self._coordinator(zone).free(freed)
 
@@ -208,14 +208,14 @@
                 found[origin.zone] = found.get(origin.zone, 0) + size
         return found
 
-    def choose_zone(self, job, now, wanted_in, avoid=()):
+    def choose_zone(self, job, now, engine_zone, avoid=()):
         """Return the zone in which a job should run, or None.
 
         Parameters
         ----------
         job : Job
         now : float
-        wanted_in : str
+        engine_zone : str
             Zone of the engine that will fetch the results.
         avoid : collection of str
             Zones that failed it, taken where there are no others.
@@ -235,7 +235,7 @@
             good = sum(zones[zone].values())
             distance = self._placer.distance(zone)
             wait = self._backlog(zone, names, now) + CROSSING_S * distance
-            if zone != wanted_in:
+            if zone != engine_zone:
                 wait += CROSSING_S_MB * size / MB
             # A zone in which a service has no good endpoint borrows one
             # of another zone, next to its own queue there.
@@ -276,13 +276,13 @@
     async def _ask(self, job, zone):
         name, control = self._owner(zone, self._clock())
         if name == self._own:
-            return await self.run_here(job, zone)
+            return await self.run_locally(job, zone)
         reply = await web.fetch(
             self._session,
             "POST",
             control,
             f"{RUN_PATH}?zone={zone}",
-            timeout=job.limit_s + EXTRA_S,
+            timeout=job.hard_limit_s + EXTRA_S,
             body=job,
         )
         if isinstance(reply, kinds.Failure):
@@ -372,7 +372,7 @@
 )
 async def stages(core):
     """Provide the way to have the stages of requests run."""
-    yield Stages(
+    yield StageRunner(
         own=core.settings.instance,
         zone=core.settings.zone,
         catalog=core.part("catalog"),
--- a/sycamoreshed/staging/pieces.py
+++ b/sycamoreshed/staging/pieces.py
@@ -44,7 +44,7 @@
     stages : list of StageWork
     key : str or None
         What pieces of first stages are made from.
-    aim_s, until_s, limit_s : float
+    target_s, soft_limit_s, hard_limit_s : float
         Seconds from now by which all results should be there for the
         answer to be in time, until which they are worked for while
         others wait, and after which nobody waits for the answer.  Clocks
@@ -57,9 +57,9 @@
     request: str
     stages: list[StageWork]
     key: str | None
-    aim_s: float
-    until_s: float
-    limit_s: float
+    target_s: float
+    soft_limit_s: float
+    hard_limit_s: float
     team: str | None
     team_priority: int
     priority: int
@@ -104,7 +104,7 @@
     request : str
     stage, index : int
         Which stage of the route, and which of its pieces.
-    until : float
+    deadline : float
         Monotonic time; begun later, it is done for nobody.
     key : str or None
         What a piece of a first stage is made from.
@@ -115,7 +115,7 @@
     request: str
     stage: int
     index: int
-    until: float
+    deadline: float
     key: str | None = None
     inputs: tuple = ()
 
--- a/sycamoreshed/staging/planning.py
+++ b/sycamoreshed/staging/planning.py
@@ -68,7 +68,7 @@
     Parameters
     ----------
     job : Job
-    aim, until : float
+    aim, deadline : float
         Monotonic times by which it should be done, and after which it
         is given up.
     priority : int
@@ -85,7 +85,7 @@
 
     job: typing.Any
     aim: float
-    until: float
+    deadline: float
     priority: int
     is_late: bool
     order: int
@@ -169,11 +169,11 @@
         if self._usage.is_heavy(job.team, now):
             reserve += TEAM_RESERVE_S
         least = self._least(job)
-        patience = max(job.until_s, LEAST_FACTOR * least)
+        patience = max(job.soft_limit_s, LEAST_FACTOR * least)
         plan = Plan(
             job=job,
-            aim=now + job.aim_s,
-            until=now + min(job.limit_s, patience),
+            aim=now + job.target_s,
+            deadline=now + min(job.hard_limit_s, patience),
             priority=priority,
             is_late=False,
             order=self._order,
@@ -204,8 +204,8 @@
         """
         busy = self._waits.factor * self._busy(plan)
         if busy:
-            return (busy + least) * LATE_FACTOR <= plan.job.until_s
-        return now + least <= plan.until
+            return (busy + least) * LATE_FACTOR <= plan.job.soft_limit_s
+        return now + least <= plan.deadline
 
     def _observe(self, priority, taken):
         for key in (priority, ALL):
@@ -224,7 +224,7 @@
 
     def excess(self, job, now):
         """Return by how much a job would miss its aim, in seconds."""
-        plan = Plan(job, now + job.aim_s, now, 0, False, self._order)
+        plan = Plan(job, now + job.target_s, now, 0, False, self._order)
         return max(0.0, self.expected_end(plan, now) - plan.aim)
 
     def done(self, plan, now):
--- a/sycamoreshed/staging/pool.py
+++ b/sycamoreshed/staging/pool.py
@@ -127,10 +127,10 @@
     def take_late(self, now):
         """Remove and return what can no longer be done in time."""
         least = self.work(1)
-        late = [w for w in self._queue if now + least > w.piece.until]
+        late = [w for w in self._queue if now + least > w.piece.deadline]
         if late:
             self._queue = [
-                w for w in self._queue if now + least <= w.piece.until
+                w for w in self._queue if now + least <= w.piece.deadline
             ]
         return late
 
--- a/sycamoreshed/staging/tests/builders.py
+++ b/sycamoreshed/staging/tests/builders.py
@@ -34,9 +34,9 @@
     request="r",
     *,
     counts=(2, 4),
-    aim_s=1.0,
-    until_s=2.0,
-    limit_s=9.0,
+    target_s=1.0,
+    soft_limit_s=2.0,
+    hard_limit_s=9.0,
     team=None,
     priority=0,
 ):
@@ -46,7 +46,15 @@
         pieces.StageWork("second", (0,), counts[1], 10),
     ]
     return pieces.Job(
-        request, stages, "key", aim_s, until_s, limit_s, team, 0, priority
+        request,
+        stages,
+        "key",
+        target_s,
+        soft_limit_s,
+        hard_limit_s,
+        team,
+        0,
+        priority,
     )
 
 
@@ -58,8 +66,8 @@
     )
 
 
-def waiting(request, index, *, rank=0, size=100, until=9.0):
+def waiting(request, index, *, rank=0, size=100, deadline=9.0):
     """Return a piece that waits."""
-    piece = pieces.Piece(request, 0, index, until=until, key="k")
+    piece = pieces.Piece(request, 0, index, deadline=deadline, key="k")
     done = concurrent.futures.Future()
     return pool.Waiting(piece, (rank, request), size, 0.0, done)
--- a/sycamoreshed/staging/tests/test_batching.py
+++ b/sycamoreshed/staging/tests/test_batching.py
@@ -93,9 +93,9 @@
     assert not client.sent
 
 
-def second_piece(request, until):
+def second_piece(request, deadline):
     """Return the piece of a request's second stage."""
-    return pieces.Piece(request, 1, 0, until=until, inputs=("h",))
+    return pieces.Piece(request, 1, 0, deadline=deadline, inputs=("h",))
 
 
 def second_stage(client, due_in_s):
@@ -129,14 +129,14 @@
     found, here, coming = second_stage(client, 0.03)
     tasks = [
         asyncio.create_task(
-            found.make(here, [second_piece("here", here.until)], 1)
+            found.make(here, [second_piece("here", here.deadline)], 1)
         )
     ]
     await asyncio.sleep(0.005)
     assert not client.sent
     tasks.append(
         asyncio.create_task(
-            found.make(coming, [second_piece("coming", coming.until)], 1)
+            found.make(coming, [second_piece("coming", coming.deadline)], 1)
         )
     )
     await asyncio.sleep(0.005)
@@ -152,9 +152,9 @@
     found, here, _ = second_stage(client, 0.09)
     # The job is given up a second after its aim, and so is its piece; a
     # call with one piece takes 0.16 s.
-    until = here.aim + 0.17
+    deadline = here.aim + 0.17
     task = asyncio.create_task(
-        found.make(here, [second_piece("here", until)], 1)
+        found.make(here, [second_piece("here", deadline)], 1)
     )
     await asyncio.sleep(0.005)
     assert len(client.sent) == 1
--- a/sycamoreshed/staging/tests/test_loads.py
+++ b/sycamoreshed/staging/tests/test_loads.py
@@ -22,9 +22,9 @@
 }
 
 
-def _job(name, stages, *, priority, aim_s):
+def _job(name, stages, *, priority, target_s):
     return pieces.Job(
-        name, stages, "key", aim_s, 1.3 * aim_s, 8.0, None, 0, priority
+        name, stages, "key", target_s, 1.3 * target_s, 8.0, None, 0, priority
     )
 
 
@@ -32,7 +32,7 @@
     """Return a job of one stage with large results."""
     count = chance.choice((1, 2, 2, 3, 4))
     stages = [pieces.StageWork("first", (), count, LARGE)]
-    return _job(name, stages, priority=0, aim_s=1.0)
+    return _job(name, stages, priority=0, target_s=1.0)
 
 
 def patient(name, chance):
@@ -43,7 +43,7 @@
         pieces.StageWork("second", (1,), 8, 60_000),
         pieces.StageWork("third", (2,), 16, 6_000),
     ]
-    return _job(name, stages, priority=2, aim_s=2.3)
+    return _job(name, stages, priority=2, target_s=2.3)
 
 
 def arrivals(kinds, *, seconds, seed):
--- a/sycamoreshed/staging/tests/test_planning.py
+++ b/sycamoreshed/staging/tests/test_planning.py
@@ -64,17 +64,17 @@
     """
     for priority in (0, 1, 2):
         plans = builders.plans()
-        tight = builders.job(aim_s=0.2, until_s=0.3, priority=priority)
+        tight = builders.job(target_s=0.2, soft_limit_s=0.3, priority=priority)
         plan = plans.admit(tight, 0.0)
-        assert plan is not None and plan.until > 0.6
-    assert plans.admit(tight._replace(limit_s=0.2), 0.0) is None
+        assert plan is not None and plan.deadline > 0.6
+    assert plans.admit(tight._replace(hard_limit_s=0.2), 0.0) is None
 
 
 def test_what_is_urgent_goes_first_and_what_is_late_last():
     plans = builders.plans(places=4)
     low = plans.admit(builders.job("low", priority=2), 0.0)
     high = plans.admit(builders.job("high", priority=0), 0.0)
-    late = plans.admit(builders.job("late", aim_s=0.1), 0.0)
+    late = plans.admit(builders.job("late", target_s=0.1), 0.0)
     assert high.rank < low.rank < late.rank
     assert late.is_late
 
@@ -89,7 +89,7 @@
     started = 0
     for number in range(12):
         plan = plans.admit(
-            builders.job(f"r{number}", aim_s=99.0, until_s=99.0), 0.0
+            builders.job(f"r{number}", target_s=99.0, soft_limit_s=99.0), 0.0
         )
         if plans.may_start(plan, 0):
             plans.started(plan, 0, 2, 0.3)
@@ -102,7 +102,7 @@
     """Results that are held leave no room for those of a new job."""
     free = builders.plans(held=0)
     full = builders.plans(held=5000)
-    job = builders.job(aim_s=0.6)
+    job = builders.job(target_s=0.6)
     assert free.admit(job, 0.0) is not None
     assert full.excess(job, 0.0) > 1.0
 
@@ -209,9 +209,11 @@
             plans.drop(plans.admit(builders.job(team=team), 0.0))
     # Work before it that leaves just the time to be done.
     ahead = plans.admit(builders.job("ahead", counts=(24, 0), team="a"), 0.0)
-    aim_s = plans.expected_end(
+    target_s = plans.expected_end(
         planning.Plan(builders.job(), 9, 9, 0, False, 99), 0.0
     )
-    tight = builders.job(aim_s=aim_s + 0.05, until_s=aim_s + 0.05)
+    tight = builders.job(
+        target_s=target_s + 0.05, soft_limit_s=target_s + 0.05
+    )
     assert ahead is not None
     assert not plans.admit(tight._replace(team="large"), 0.0).is_late
--- a/sycamoreshed/staging/tests/test_pool.py
+++ b/sycamoreshed/staging/tests/test_pool.py
@@ -103,7 +103,7 @@
 
 def test_what_cannot_be_done_in_time_is_not_begun():
     found = filled(
-        builders.waiting("a", 0, until=1.1), builders.waiting("b", 0)
+        builders.waiting("a", 0, deadline=1.1), builders.waiting("b", 0)
     )
     assert [w.piece.request for w in found.take_late(1.0)] == ["a"]
     assert found.queued == 1
--- a/testkit/stagezone.py
+++ b/testkit/stagezone.py
@@ -98,7 +98,7 @@
             return made
 
     def _take(self, item, now):
-        if now > item.until:
+        if now > item.deadline:
             return _Made(None, "late")
         size = self._sizes[item.stage]
         if sum(self._held.values()) + size > self._spec.room_bytes:
@@ -220,7 +220,7 @@
             at,
             ended,
             done.results is not None,
-            done.results is not None and ended <= at + job.aim_s,
+            done.results is not None and ended <= at + job.target_s,
         )
         if done.results:
             await asyncio.sleep(fetch_s)
