--- a/sycamoreshed/staging/__init__.py
+++ b/sycamoreshed/staging/__init__.py
@@ -1,1 +1,1 @@
-"""Stages made of pieces: batches shared by the instances of a zone."""
+"""Multi-stage jobs: scheduling, batching and delegation between instances."""
--- a/sycamoreshed/staging/batching.py
+++ b/sycamoreshed/staging/batching.py
@@ -1,4 +1,4 @@
-"""Sends pieces of stages to endpoints, many requests' in one call."""
+"""Sends pieces to endpoints, those of many requests in one call."""
 
 import asyncio
 
@@ -11,26 +11,26 @@
 
 __all__ = ["Batcher"]
 
-# How many times longer than it should a call may take before it counts as
-# lost.  Endpoints that turn slow take five times as long, and a call that
-# waits behind another instance's twice; given up earlier, the endpoint works
-# on it all the same, for nobody.
-CALL_FACTOR = 8.0
-CALL_EXTRA_S = 0.5
+# Timeout of a call, as a multiple of its expected time.  Endpoints that become
+# slow take five times as long, and a call queued behind another instance's
+# twice as long; after a shorter timeout, the endpoint would still process the
+# call, for nobody.
+CALL_TIMEOUT_FACTOR = 8.0
+CALL_TIMEOUT_EXTRA_S = 0.5
 FREE_TIMEOUT_S = 1.0
-# Results to be freed are gathered that long: a call each would cost more
-# than the room is worth.
+# Results to be freed are collected for this long: a call for each would cost
+# more than its memory is worth.
 FREE_DELAY_S = 0.02
-# Between looks while pieces wait: an endpoint may come back or results may
-# expire without anybody saying so here.
-LOOK_S = 0.05
-# A call waits for pieces that are due within this share of its fixed time, so
-# that it goes out fuller.
-COMPANY_SHARE = 0.67
+# Interval of checks while pieces are queued: no event announces that an
+# endpoint is available again or that results have expired.
+POLL_S = 0.05
+# A call is delayed for pieces that are due within this share of its fixed
+# time, so that it has more of them.
+MAX_DELAY_SHARE = 0.67
 
 
 class Batcher:
-    """Works off the pieces of one service with the endpoints of a zone.
+    """Processes the pieces of one service with the endpoints of a zone.
 
     Parameters
     ----------
@@ -39,7 +39,7 @@
         Takes the time, returns the endpoints that may get calls.
     lookup : callable
         Takes the id of an endpoint, returns it or None.
-    plans : Plans
+    scheduler : Scheduler
     client : EndpointClient
     codec : Platform
     health : Health
@@ -54,7 +54,7 @@
         service,
         endpoints,
         lookup,
-        plans,
+        scheduler,
         client,
         codec,
         health,
@@ -65,7 +65,7 @@
         self.service = service
         self._endpoints = endpoints
         self._lookup = lookup
-        self._plans = plans
+        self._scheduler = scheduler
         self._client = client
         self._codec = codec
         self._health = health
@@ -73,86 +73,89 @@
         self._clock = clock
         self._spawn = spawn
         self._pool = pool.Pool(spec=service.pieces)
-        # Of stages that are being made; two of a request may be.
-        self._plan_of = {}
+        # By request and stage, while the stage is processed; two stages of
+        # a request may be at the same time.
+        self._admitted = {}
         self._wake = asyncio.Event()
-        self._freed = {}
+        self._pending_frees = {}
         self._task = None
 
     @property
-    def held_bytes(self):
-        """Bytes of results that the endpoints hold."""
-        return self._pool.held_bytes
+    def stored_bytes(self):
+        """Bytes of results that the endpoints store."""
+        return self._pool.stored_bytes
 
     @property
-    def places(self):
-        """Calls at the usual speed that endpoints work on at a time."""
+    def concurrency(self):
+        """Calls that the endpoints process at a time, at configured speed."""
         slots = self.service.pieces.slots
         return sum(
-            slots / self._pool.slowness(each)
+            slots / self._pool.slowdown(each)
             for each in self._endpoints(self._clock())
         )
 
-    async def make(self, plan, wanted, size):
-        """Have pieces of one stage of a job made.
+    async def run_pieces(self, admitted, requested, result_bytes):
+        """Process pieces of one stage of a job.
 
         Parameters
         ----------
-        plan : Plan
-        wanted : list of Piece
-        size : int
-            Approximate bytes of a result.
+        admitted : AdmittedJob
+        requested : list of Piece
+        result_bytes : int
+            Approximate size of a result.
 
         Returns
         -------
-        list of Result
+        list of PieceOutcome
             In the order of the pieces.
 
         Raises
         ------
         asyncio.CancelledError
-            If nobody wants them any more; what waits is dropped.
+            If the caller is cancelled; queued pieces are dropped.
         """
         loop = asyncio.get_running_loop()
         now = self._clock()
         futures = []
-        key = plan.job.request, wanted[0].stage
-        self._plan_of[key] = plan
-        self._plans.arrived(plan, wanted[0].stage)
-        for piece in wanted:
+        key = admitted.job.request, requested[0].stage
+        self._admitted[key] = admitted
+        self._scheduler.record_inputs(admitted, requested[0].stage)
+        for piece in requested:
             future = loop.create_future()
             futures.append(future)
-            waiting = pool.Waiting(piece, plan.rank, size, now, future)
-            self._pool.add(waiting)
-        self._start()
+            entry = pool.QueuedPiece(
+                piece, admitted.rank, result_bytes, now, future
+            )
+            self._pool.add(entry)
+        self._wake_worker()
         try:
             return list(await asyncio.gather(*futures))
         finally:
             self._pool.discard(*key)
-            self._plan_of.pop(key, None)
+            self._admitted.pop(key, None)
 
-    def free(self, results):
-        """Give up results; their endpoints are told a moment later.
+    def free(self, refs):
+        """Free results; the calls to their endpoints go out a moment later.
 
         Parameters
         ----------
-        results : list of Held
-            Also those that another instance had made, which may have
-            been the one to batch before.
+        refs : list of ResultRef
+            May include results requested by another instance that
+            coordinated the zone before.
         """
-        for held in results:
-            if held.maker not in self._freed:
-                self._freed[held.maker] = []
+        for ref in refs:
+            if ref.endpoint not in self._pending_frees:
+                self._pending_frees[ref.endpoint] = []
                 self._spawn(
-                    self._tell_freed(held.maker), name="free stage results"
+                    self._send_frees(ref.endpoint), name="free stage results"
                 )
-            self._freed[held.maker].append(held.handle)
+            self._pending_frees[ref.endpoint].append(ref.handle)
 
     def wake(self):
-        """Look again for pieces that may start."""
+        """Check again for pieces that can start."""
         self._wake.set()
 
-    def _start(self):
+    def _wake_worker(self):
         self._wake.set()
         if self._task is None or self._task.done():
             self._task = self._spawn(self._work(), name="batch pieces")
@@ -160,167 +163,178 @@
     async def _work(self):
         while True:
             self._wake.clear()
-            for waiting in self._pool.take_late(self._clock()):
-                _settle(waiting, pieces.Result(None, "late"))
+            for entry in self._pool.pop_late(self._clock()):
+                _resolve(entry, pieces.PieceOutcome(None, "late"))
             while self._send_next():
                 pass
-            timeout = LOOK_S if self._pool.queued else None
+            timeout = POLL_S if self._pool.queued else None
             try:
                 async with asyncio.timeout(timeout):
                     await self._wake.wait()
             except TimeoutError:
                 continue
 
-    def _may_start(self, piece):
-        plan = self._plan_of.get((piece.request, piece.stage))
-        return plan is None or self._plans.may_start(plan, piece.stage)
+    def _can_start(self, piece):
+        admitted = self._admitted.get((piece.request, piece.stage))
+        return admitted is None or self._scheduler.can_start(
+            admitted, piece.stage
+        )
 
-    def _holds(self, chosen, now):
-        """Return whether a call waits for pieces that come in a moment.
+    def _should_wait(self, selected, now):
+        """Return whether a call should wait for pieces that are due soon.
 
         Notes
         -----
-        Sent at once, the call takes its fixed time for a few pieces, and
-        those that come a moment later wait for all of it.
+        If it were sent at once, the call would take its fixed time for a
+        few pieces, and those due a moment later would wait for its end.
         """
         spec = self.service.pieces
-        until = now + COMPANY_SHARE * spec.call_s
-        count = len(chosen)
-        wait = None
-        for each in self._plans.coming(self.service.name, now, until):
+        deadline = now + MAX_DELAY_SHARE * spec.call_s
+        count = len(selected)
+        wait_s = None
+        for each in self._scheduler.upcoming(self.service.name, now, deadline):
             count += each.count
             if count > spec.batch:
                 break
-            wait = each.due - now
-        if wait is None:
+            wait_s = each.due_at - now
+        if wait_s is None:
             return False
-        end = now + wait + self._pool.work(min(count, spec.batch))
-        return all(end <= self._aim(each.piece) for each in chosen)
+        end = now + wait_s + self._pool.call_s(min(count, spec.batch))
+        return all(end <= self._target_at(each.piece) for each in selected)
 
-    def _aim(self, piece):
-        """Return when a piece should be done for its job to be in time."""
-        plan = self._plan_of.get((piece.request, piece.stage))
-        if plan is None:
+    def _target_at(self, piece):
+        """Return when a piece should be done for its job to be on target."""
+        admitted = self._admitted.get((piece.request, piece.stage))
+        if admitted is None:
             return piece.deadline
-        return piece.deadline - (plan.deadline - plan.aim)
+        return piece.deadline - (admitted.deadline - admitted.target_at)
 
     def _send_next(self):
         now = self._clock()
         batch = self._pool.next_batch(
             self._endpoints(now),
             now,
-            may_start=self._may_start,
-            hold=lambda chosen: self._holds(chosen, now),
+            can_start=self._can_start,
+            should_wait=lambda selected: self._should_wait(selected, now),
         )
         if batch is None:
             return False
-        ready = self._pool.begin(batch, now)
-        for waiting in batch.waiting:
-            piece = waiting.piece
-            plan = self._plan_of.get((piece.request, piece.stage))
-            if plan is not None:
-                self._plans.started(plan, piece.stage, 1, ready)
-        self._spawn(self._call(batch, ready), name="call with pieces")
+        expected_end = self._pool.start_call(batch, now)
+        for entry in batch.entries:
+            piece = entry.piece
+            admitted = self._admitted.get((piece.request, piece.stage))
+            if admitted is not None:
+                self._scheduler.record_sent(
+                    admitted, piece.stage, 1, expected_end
+                )
+        self._spawn(self._call(batch, expected_end), name="call with pieces")
         return True
 
-    async def _call(self, batch, ready):
-        began = self._clock()
-        self._tell(batch, began)
-        results = _none(batch, "error", sent=True)
-        why = "cancelled"
+    async def _call(self, batch, expected_end):
+        started_at = self._clock()
+        self._log_call(batch, started_at)
+        outcomes = _no_results(batch, "error", sent=True)
+        status = "cancelled"
         try:
-            results, why = await self._attempt(batch, began)
+            outcomes, status = await self._attempt(batch, started_at)
         finally:
             now = self._clock()
-            self._pool.end(batch, ready, results, now)
-            self._hand_out(batch, results)
+            self._pool.end_call(batch, expected_end, outcomes, now)
+            self._deliver(batch, outcomes)
             self._journal.write(
                 "batch_ended",
                 endpoint=batch.endpoint.id,
-                pieces=len(results),
-                no_room=sum(each.why == "room" for each in results),
-                took_s=round(now - began, 4),
-                why=why,
+                pieces=len(outcomes),
+                no_room=sum(each.reason == "room" for each in outcomes),
+                took_s=round(now - started_at, 4),
+                why=status,
             )
 
-    def _tell(self, batch, now):
+    def _log_call(self, batch, now):
         self._journal.write(
             "batch",
             endpoint=batch.endpoint.id,
             service=self.service.name,
-            requests=sorted({w.piece.request for w in batch.waiting}),
-            pieces=len(batch.waiting),
-            waited_s=round(now - min(w.since for w in batch.waiting), 4),
+            requests=sorted({e.piece.request for e in batch.entries}),
+            pieces=len(batch.entries),
+            waited_s=round(now - min(e.queued_at for e in batch.entries), 4),
             queued=self._pool.queued,
-            room_mb=round(self._pool.room(batch.endpoint) / 1e6, 2),
+            room_mb=round(self._pool.free_bytes(batch.endpoint) / 1e6, 2),
         )
 
-    def _hand_out(self, batch, results):
-        unwanted = []
-        for waiting, result in zip(batch.waiting, results, strict=True):
-            if result.why == "room" and not waiting.done.done():
-                # It was not worked on, and there will be room again.
-                self._pool.add(waiting)
-            elif not _settle(waiting, result) and result.held:
-                unwanted.append(result.held)
-        self.free(unwanted)
+    def _deliver(self, batch, outcomes):
+        unclaimed = []
+        for entry, outcome in zip(batch.entries, outcomes, strict=True):
+            if outcome.reason == "room" and not entry.future.done():
+                # It was not processed, and memory will become free again.
+                self._pool.add(entry)
+            elif not _resolve(entry, outcome) and outcome.ref:
+                unclaimed.append(outcome.ref)
+        self.free(unclaimed)
         self._wake.set()
 
-    async def _attempt(self, batch, began):
-        """Return the results of a call, and a word on how it went."""
+    async def _attempt(self, batch, started_at):
+        """Return the outcomes of a call, and its status for the log."""
         endpoint = batch.endpoint
         path, headers, body = self._codec.piece_call(
-            [each.piece for each in batch.waiting],
+            [each.piece for each in batch.entries],
             endpoint=endpoint.id,
-            now=began,
+            now=started_at,
         )
-        work = self._pool.work(len(batch.waiting))
+        work_s = self._pool.call_s(len(batch.entries))
         response = await self._client.send(
             "POST",
             endpoint.address,
             path,
             headers,
             body,
-            within=work * CALL_FACTOR + CALL_EXTRA_S,
+            within=work_s * CALL_TIMEOUT_FACTOR + CALL_TIMEOUT_EXTRA_S,
         )
         answer = response
         if not isinstance(response, kinds.Failure):
-            answer = await client.read_whole(response, within=CALL_EXTRA_S)
+            answer = await client.read_whole(
+                response, within=CALL_TIMEOUT_EXTRA_S
+            )
         if isinstance(answer, kinds.Failure):
             self._health.bad(
                 endpoint, self._clock(), answer.reason, reached=False
             )
-            return _none(batch, "error", answer.sent), answer.reason
-        return self._read(batch, answer)
+            return _no_results(batch, "error", answer.sent), answer.reason
+        return self._parse(batch, answer)
 
-    def _read(self, batch, answer):
+    def _parse(self, batch, answer):
         now = self._clock()
         if answer.status != 200:
             verdict = self._codec.judge(answer.status, answer.headers).value
             not_run = verdict in ("not-run", "elsewhere")
-            why = f"status {answer.status}"
-            self._health.bad(batch.endpoint, now, why)
-            return _none(batch, "full" if not_run else "error", not not_run), (
-                why
+            status = f"status {answer.status}"
+            self._health.bad(batch.endpoint, now, status)
+            return (
+                _no_results(
+                    batch, "full" if not_run else "error", not not_run
+                ),
+                status,
             )
         try:
-            found = self._codec.read_pieces(answer.body)
+            received = self._codec.read_pieces(answer.body)
         except msgspec.MsgspecError as err:
             self._health.bad(batch.endpoint, now, str(err))
-            return _none(batch, "error", sent=True), str(err)
-        if len(found) != len(batch.waiting):
-            self._health.bad(batch.endpoint, now, "other number of results")
-            return _none(batch, "error", sent=True), "results missing"
+            return _no_results(batch, "error", sent=True), str(err)
+        if len(received) != len(batch.entries):
+            self._health.bad(
+                batch.endpoint, now, "unexpected number of results"
+            )
+            return _no_results(batch, "error", sent=True), "results missing"
         self._health.good(batch.endpoint, now)
-        results = [_result(each, batch.endpoint) for each in found]
-        bad = {each.why for each in results if each.held is None}
-        return results, ",".join(sorted(map(str, bad))) or "done"
+        outcomes = [_outcome(each, batch.endpoint) for each in received]
+        reasons = {each.reason for each in outcomes if each.ref is None}
+        return outcomes, ",".join(sorted(map(str, reasons))) or "done"
 
-    async def _tell_freed(self, name):
+    async def _send_frees(self, name):
         await asyncio.sleep(FREE_DELAY_S)
-        handles = self._freed.pop(name)
-        # Also one that leaves, is avoided or belongs to another zone: it
-        # holds the results until it is told, or they expire.
+        handles = self._pending_frees.pop(name)
+        # Includes endpoints that are leaving, avoided or in another zone:
+        # they store the results until this call, or until they expire.
         endpoint = self._lookup(name)
         if endpoint is None:
             return
@@ -329,33 +343,33 @@
             endpoint.address, path, headers, body, within=FREE_TIMEOUT_S
         )
         if isinstance(answer, kinds.Failure):
-            why = answer.reason
+            status = answer.reason
         else:
-            why = f"status {answer.status}"
+            status = f"status {answer.status}"
         self._journal.write(
-            "freed", endpoint=name, results=len(handles), why=why
+            "freed", endpoint=name, results=len(handles), why=status
         )
-        # Only now is there room again; counted earlier, pieces would be
-        # sent in vain.
+        # The memory is free only now; if it were counted earlier, the
+        # endpoint would reject the pieces sent to it.
         for handle in handles:
             self._pool.free(handle)
         self._wake.set()
 
 
-def _result(found, endpoint):
-    held = None
-    if found.handle is not None:
-        held = pieces.Held(found.handle, endpoint.id)
-    return pieces.Result(held, found.why, sent=True)
+def _outcome(received, endpoint):
+    ref = None
+    if received.handle is not None:
+        ref = pieces.ResultRef(received.handle, endpoint.id)
+    return pieces.PieceOutcome(ref, received.why, sent=True)
 
 
-def _none(batch, why, sent):
-    return [pieces.Result(None, why, sent)] * len(batch.waiting)
+def _no_results(batch, reason, sent):
+    return [pieces.PieceOutcome(None, reason, sent)] * len(batch.entries)
 
 
-def _settle(waiting, result):
-    """Give a result to who waits; return whether anybody does."""
-    if waiting.done.done():
+def _resolve(entry, outcome):
+    """Set the outcome of a piece; return whether anybody waits for it."""
+    if entry.future.done():
         return False
-    waiting.done.set_result(result)
+    entry.future.set_result(outcome)
     return True
--- a/sycamoreshed/staging/coordinator.py
+++ b/sycamoreshed/staging/coordinator.py
@@ -1,4 +1,4 @@
-"""Takes jobs through all their stages, with the endpoints of one zone."""
+"""Runs jobs through all their stages, with the endpoints of one zone."""
 
 import asyncio
 import typing
@@ -6,27 +6,28 @@
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import limits
 from sycamoreshed.staging import pieces
-from sycamoreshed.staging import planning
+from sycamoreshed.staging import scheduling
 
 __all__ = ["Coordinator"]
 
-# Attempts at the pieces of a stage; each after the first is taken from
-# the budget of repeats.
-MOST_ATTEMPTS = 3
+# Attempts at the pieces of a stage; each after the first counts against the
+# retry budget.
+MAX_ATTEMPTS = 3
+# Time that a job may take beyond its deadline.
 GRACE_S = 0.1
-# Added to the time after which a refused job would be in time if nothing new
-# came: a caller that returns into the same burst is refused for good.
+# Added to the time after which a rejected job could meet its target if no more
+# jobs arrived: a caller that retries into the same burst is rejected for good.
 RETRY_EXTRA_S = 1.6
-# Results take a moment to be fetched by whoever takes them as inputs.
+# Time in which the endpoint of the next stage fetches its inputs.
 FETCH_S = 0.02
 
 
 class _Run(typing.NamedTuple):
-    """A job under way: futures of each stage's results."""
+    """A running job, with a future of each stage's results."""
 
-    plan: typing.Any
+    admitted: typing.Any
     specs: dict
-    stages: list
+    results: list
 
 
 class Coordinator:
@@ -36,14 +37,14 @@
     ----------
     zone : str
     services : callable
-        Takes a name, returns the `Service` if it works on pieces.
+        Takes a name, returns the `Service` if it processes pieces.
     endpoints : callable
         Takes the name of a service and the time, returns the endpoints
         that may get calls.
     make_batcher : callable
-        Takes `Service`, endpoints and `Plans`, returns a `Batcher`.
+        Takes `Service`, endpoints and `Scheduler`, returns a `Batcher`.
     budget : RepeatBudget
-    instances : callable
+    instance_count : callable
         Returns how many instances share the budget.
     journal : Journal
     clock : callable
@@ -57,7 +58,7 @@
         endpoints,
         make_batcher,
         budget,
-        instances,
+        instance_count,
         journal,
         clock,
     ):
@@ -66,65 +67,71 @@
         self._endpoints = endpoints
         self._make_batcher = make_batcher
         self._budget = budget
-        self._instances = instances
+        self._instance_count = instance_count
         self._journal = journal
         self._clock = clock
         self._batchers = {}
-        self._plans = planning.Plans(
-            specs=self._spec, places=self._places, held=self._held
+        self._scheduler = scheduling.Scheduler(
+            specs=self._spec,
+            concurrency=self._concurrency,
+            stored_bytes=self._stored_bytes,
         )
 
     async def run(self, job):
-        """Run a job; return `Done`."""
+        """Run a job; return its `JobOutcome`."""
         now = self._clock()
         names = {s.service for s in job.stages if s.count}
         if not all(map(self._services, names)):
-            return self._none("a service takes no pieces", False)
-        plan = self._plans.admit(job, now)
-        self._tell(job, plan)
-        if plan is None:
-            # Known now, so told now: the caller can come back or do
-            # without, instead of waiting for its deadline.
-            wait = self._plans.excess(job, now)
-            refused = self._none("stages are busy for too long", True)
-            return refused._replace(retry_s=round(RETRY_EXTRA_S + wait, 3))
+            return self._failed("a service takes no pieces", False)
+        admitted = self._scheduler.admit(job, now)
+        self._log_admission(job, admitted)
+        if admitted is None:
+            # Rejected at once, the caller can retry or do without the
+            # answer, instead of waiting for its deadline.
+            wait_s = self._scheduler.expected_lateness(job, now)
+            rejected = self._failed("stages are busy for too long", True)
+            return rejected._replace(retry_s=round(RETRY_EXTRA_S + wait_s, 3))
         try:
-            # A call that began in time may end a little later; who asked
-            # waits no longer than that either.
-            async with limits.limit(plan.deadline - now + GRACE_S):
-                result = await self._run(plan)
+            # A call that started before the deadline may end a little
+            # later; the caller waits no longer than that either.
+            async with limits.limit(admitted.deadline - now + GRACE_S):
+                result = await self._run_stages(admitted)
             if not isinstance(result, kinds.Failure):
-                self._plans.done(plan, self._clock())
+                self._scheduler.record_completion(admitted, self._clock())
         except TimeoutError:
             result = kinds.Failure(kinds.Kind.HOPELESS, "results are late")
         finally:
-            self._plans.drop(plan)
+            self._scheduler.remove(admitted)
             for batcher in self._batchers.values():
                 batcher.wake()
         if isinstance(result, kinds.Failure):
             late = result.kind is kinds.Kind.HOPELESS
-            return self._none(result.reason, late)
-        return pieces.Done(result, None, False, self._plans.backlog())
+            return self._failed(result.reason, late)
+        return pieces.JobOutcome(
+            result, None, False, self._scheduler.backlog()
+        )
 
     def free(self, results):
-        """Give up results.
+        """Free results.
 
         Parameters
         ----------
-        results : list of (str, Held)
-            With the service that made each.
+        results : list of (str, ResultRef)
+            With the service that computed each.
         """
         by_service = {}
-        for service, held in results:
-            by_service.setdefault(service, []).append(held)
-        for name, helds in by_service.items():
+        for service, ref in results:
+            by_service.setdefault(service, []).append(ref)
+        for name, refs in by_service.items():
             if self._services(name) is not None:
-                self._batcher(name).free(helds)
+                self._batcher(name).free(refs)
 
-    def _none(self, why, is_late):
-        return pieces.Done(None, why, is_late, self._plans.backlog())
+    def _failed(self, reason, is_late):
+        return pieces.JobOutcome(
+            None, reason, is_late, self._scheduler.backlog()
+        )
 
-    def _tell(self, job, plan):
+    def _log_admission(self, job, admitted):
         self._journal.write(
             "staged",
             request=job.request,
@@ -132,125 +139,127 @@
             pieces=[stage.count for stage in job.stages],
             aim_s=round(job.target_s, 3),
             until_s=round(job.soft_limit_s, 3),
-            is_late=plan is None or plan.is_late,
+            is_late=admitted is None or admitted.is_late,
             backlog_s={
                 name: round(each, 3)
-                for name, each in self._plans.backlog().items()
+                for name, each in self._scheduler.backlog().items()
             },
         )
 
-    async def _run(self, plan):
+    async def _run_stages(self, admitted):
         loop = asyncio.get_running_loop()
-        stages = plan.job.stages
+        stages = admitted.job.stages
         run = _Run(
-            plan,
+            admitted,
             {s.service: self._spec(s.service) for s in stages if s.count},
             [loop.create_future() for _ in stages],
         )
         tasks = [
-            asyncio.create_task(self._stage(run, index))
+            asyncio.create_task(self._run_stage(run, index))
             for index in range(len(stages))
         ]
-        whole = False
+        is_complete = False
         try:
             for finished in asyncio.as_completed(tasks):
                 result = await finished
                 if isinstance(result, kinds.Failure):
                     return result
-            whole = True
+            is_complete = True
             final = pieces.final_stages(stages)
-            return [h for i in final for h in run.stages[i].result()]
+            return [ref for i in final for ref in run.results[i].result()]
         finally:
             for task in tasks:
                 task.cancel()
-            if not whole:
+            if not is_complete:
                 self._free_all(run)
 
     def _free_all(self, run):
-        for index, stage in enumerate(run.plan.job.stages):
-            future = run.stages[index]
-            # Futures are cancelled with a task that waits for them.
+        for index, stage in enumerate(run.admitted.job.stages):
+            future = run.results[index]
+            # Cancelling a task also cancels the future it awaits.
             if stage.count and future.done() and not future.cancelled():
                 self._batcher(stage.service).free(future.result())
 
-    async def _stage(self, run, index):
-        job = run.plan.job
+    async def _run_stage(self, run, index):
+        job = run.admitted.job
         stage = job.stages[index]
         inputs = []
         for before in stage.after:
-            inputs += await run.stages[before]
-        results = []
+            inputs += await run.results[before]
+        refs = []
         if stage.count:
-            results = await self._make(run, index, inputs)
-            if isinstance(results, kinds.Failure):
-                return results
-        run.stages[index].set_result(results)
+            refs = await self._run_pieces(run, index, inputs)
+            if isinstance(refs, kinds.Failure):
+                return refs
+        run.results[index].set_result(refs)
         self._free_inputs(run, index)
         return None
 
     def _free_inputs(self, run, index):
-        """Free what only stages that are done by now took as inputs."""
-        stages = run.plan.job.stages
+        """Free the inputs of a stage that no unfinished stage needs."""
+        stages = run.admitted.job.stages
         for before in stages[index].after:
-            takers = [
+            followers = [
                 later
                 for later, stage in enumerate(stages)
                 if before in stage.after
             ]
-            if all(run.stages[later].done() for later in takers):
+            if all(run.results[later].done() for later in followers):
                 service = stages[before].service
                 if stages[before].count:
-                    self._batcher(service).free(run.stages[before].result())
+                    self._batcher(service).free(run.results[before].result())
 
-    async def _make(self, run, index, inputs):
-        """Have the pieces of a stage made; return results or a failure."""
-        stage = run.plan.job.stages[index]
-        held = [None] * stage.count
+    async def _run_pieces(self, run, index, inputs):
+        """Process the pieces of a stage; return its results or a failure."""
+        stage = run.admitted.job.stages[index]
+        refs = [None] * stage.count
         self._budget.earn(stage.service, self._clock())
-        for attempt in range(1, MOST_ATTEMPTS + 1):
-            wanted = self._wanted(run, index, inputs, held)
-            made = await self._batcher(stage.service).make(
-                run.plan, wanted, stage.size
+        for attempt in range(1, MAX_ATTEMPTS + 1):
+            missing = self._missing_pieces(run, index, inputs, refs)
+            outcomes = await self._batcher(stage.service).run_pieces(
+                run.admitted, missing, stage.result_bytes
             )
-            for piece, result in zip(wanted, made, strict=True):
-                held[piece.index] = result.held
-            failure = _failure(made)
+            for piece, outcome in zip(missing, outcomes, strict=True):
+                refs[piece.index] = outcome.ref
+            failure = _failure(outcomes)
             if failure is None:
-                return held
-            if attempt == MOST_ATTEMPTS or not self._may_repeat(
+                return refs
+            if attempt == MAX_ATTEMPTS or not self._can_retry(
                 run, stage, failure, attempt
             ):
-                self._batcher(stage.service).free(list(filter(None, held)))
+                self._batcher(stage.service).free(list(filter(None, refs)))
                 return failure
 
-    def _wanted(self, run, index, inputs, held):
-        job = run.plan.job
-        after = pieces.time_after(job.stages, index, run.specs) + FETCH_S
+    def _missing_pieces(self, run, index, inputs, refs):
+        job = run.admitted.job
+        remaining_s = (
+            pieces.min_remaining_s(job.stages, index, run.specs) + FETCH_S
+        )
         return [
             pieces.Piece(
                 request=job.request,
                 stage=index,
                 index=number,
-                deadline=run.plan.deadline - after,
+                deadline=run.admitted.deadline - remaining_s,
                 key=None if inputs else job.key,
                 inputs=tuple(each.handle for each in inputs),
             )
-            for number, result in enumerate(held)
-            if result is None
+            for number, ref in enumerate(refs)
+            if ref is None
         ]
 
-    def _may_repeat(self, run, stage, failure, attempt):
+    def _can_retry(self, run, stage, failure, attempt):
         if failure.kind is kinds.Kind.HOPELESS:
             return False
-        # Asked for again with the same inputs, it would be gone again.
+        # A retry has the same inputs, so those that are gone stay gone.
         allowed = failure.reason != "gone"
         if allowed and failure.sent:
             allowed = self._budget.spend(
-                stage.service, self._clock(), self._instances()
+                stage.service, self._clock(), self._instance_count()
             )
         self._journal.write(
             "retry" if allowed else "no_retry",
-            request=run.plan.job.request,
+            request=run.admitted.job.request,
             attempt=attempt + 1,
             why=f"{stage.service}: {failure.reason}",
             budget=None,
@@ -261,32 +270,32 @@
         service = self._services(name)
         return None if service is None else service.pieces
 
-    def _places(self, name):
-        return self._batcher(name).places if self._services(name) else 0
+    def _concurrency(self, name):
+        return self._batcher(name).concurrency if self._services(name) else 0
 
-    def _held(self, name):
+    def _stored_bytes(self, name):
         batcher = self._batchers.get(name)
-        return 0 if batcher is None else batcher.held_bytes
+        return 0 if batcher is None else batcher.stored_bytes
 
     def _batcher(self, name):
         service = self._services(name)
-        held = self._batchers.get(name)
-        if held is None or held.service.pieces != service.pieces:
+        batcher = self._batchers.get(name)
+        if batcher is None or batcher.service.pieces != service.pieces:
             self._batchers[name] = self._make_batcher(
                 service,
                 lambda now: self._endpoints(name, now),
-                self._plans,
+                self._scheduler,
             )
         return self._batchers[name]
 
 
-def _failure(made):
-    """Return the failure of a stage's pieces, or None if all are there."""
-    bad = [each for each in made if each.held is None]
-    if not bad:
+def _failure(outcomes):
+    """Return the failure of a stage's pieces, or None if there is none."""
+    failed = [each for each in outcomes if each.ref is None]
+    if not failed:
         return None
-    sent = any(each.sent for each in bad)
+    sent = any(each.sent for each in failed)
     kind = kinds.Kind.STAGE_FAILED
-    if all(each.why == "late" for each in bad):
+    if all(each.reason == "late" for each in failed):
         kind = kinds.Kind.HOPELESS
-    return kinds.Failure(kind, str(bad[0].why), sent)
+    return kinds.Failure(kind, str(failed[0].reason), sent)
--- a/sycamoreshed/staging/delegation.py
+++ b/sycamoreshed/staging/delegation.py
@@ -1,9 +1,9 @@
-"""Which instance takes a request through its stages, and in which zone.
+"""Selects the zone and the instance that run a request's stages.
 
-Endpoints that work on one call at a time are best fed by one queue.  The
-instances of a zone agree on who keeps it by rendezvous hashing over the
-registered ones: no message, and another one at once when it does not
-answer.
+Endpoints that process one call at a time are best served by a single queue.
+Rendezvous hashing over the registered instances of a zone selects the one
+that has its queue: no messages are needed, and another instance takes over
+at once if it does not answer.
 """
 
 import functools
@@ -23,45 +23,46 @@
 
 RUN_PATH = "/control/stages"
 FREE_PATH = "/control/results/free"
-# For a call to another instance, on top of the time the job has.
-EXTRA_S = 0.3
+# Added to a job's hard limit for the timeout of a call to another instance.
+CALL_EXTRA_S = 0.3
 FREE_TIMEOUT_S = 0.5
 # Time to live of a zone's reported backlog.
 BACKLOG_TTL_S = 1.0
-# Another zone's backlog must be shorter by this for each step of distance.
-CROSSING_S = 0.04
-# And by this for each megabyte of results that would cross zones, which is
-# paid for.
-CROSSING_S_MB = 0.04
+# A zone farther away is selected only if its backlog is shorter by this for
+# each step of distance.
+DISTANCE_COST_S = 0.04
+# And by this for each megabyte of results that would cross zones: this traffic
+# is paid for.
+TRANSFER_COST_S_PER_MB = 0.04
 MB = 1e6
-# Instances that are asked in turn for one job.
-MOST_ASKED = 3
+# Instances tried in turn for one job.
+MAX_ATTEMPTS = 3
 
 
 class FreedResult(typing.NamedTuple):
-    """A result that is given up, and the service that made it."""
+    """A result to be freed, and the service that computed it."""
 
     service: str
-    held: pieces.Held
+    ref: pieces.ResultRef
 
 
-class _Told(typing.NamedTuple):
+class _BacklogReport(typing.NamedTuple):
     backlog_s: dict
-    at: float
+    reported_at: float
 
 
 class _Origin(typing.NamedTuple):
     service: str
     zone: str
-    held: pieces.Held
+    ref: pieces.ResultRef
 
 
 class StageRunner:
-    """Has the stages of requests run, here or by another instance.
+    """Runs the stages of requests, locally or at another instance.
 
     Parameters
     ----------
-    own, zone : str
+    instance, zone : str
         This instance's name and zone.
     catalog : Catalog
     peers : PeerBook
@@ -78,7 +79,7 @@
     def __init__(
         self,
         *,
-        own,
+        instance,
         zone,
         catalog,
         peers,
@@ -90,7 +91,7 @@
         clock,
         spawn,
     ):
-        self._own = own
+        self._instance = instance
         self._zone = zone
         self._catalog = catalog
         self._peers = peers
@@ -102,60 +103,70 @@
         self._clock = clock
         self._spawn = spawn
         self._coordinators = {}
-        self._told = {}
+        self._backlog_reports = {}
         self._origins = {}
 
-    async def run(self, job, kept, *, engine_zone):
+    async def run(self, job, handles, *, engine_zone):
         """Run the stages of a request.
 
         Parameters
         ----------
         job : Job
-        kept : list of str
-            Gets the handles of results; `free` them when nobody needs
-            them any more.
+        handles : list of str
+            The handles of the results are appended to it; pass them to
+            `free` when they are no longer needed.
         engine_zone : str
             Zone of the engine that will fetch them.
 
         Returns
         -------
         list of str or Failure
-            Handles of the final stages' results, in order.  Work on
-            pieces is no run of the request, so a failure is never sent.
+            Handles of the final stages' results, in order.  Running
+            stages does not run the request itself, so the `sent` of a
+            failure is never true.
         """
         if not any(stage.count for stage in job.stages):
             return []
         avoid = set()
-        began = self._clock()
-        given = job
-        for _ in range(MOST_ASKED):
+        started_at = self._clock()
+        original = job
+        for _ in range(MAX_ATTEMPTS):
             now = self._clock()
             zone = self.choose_zone(job, now, engine_zone, avoid)
             if zone is None:
                 return kinds.Failure(
                     kinds.Kind.NO_ENDPOINT, "no endpoint for a stage"
                 )
-            spent = now - began
-            job = given._replace(
-                target_s=given.target_s - spent,
-                soft_limit_s=given.soft_limit_s - spent,
-                hard_limit_s=given.hard_limit_s - spent,
+            elapsed_s = now - started_at
+            job = original._replace(
+                target_s=original.target_s - elapsed_s,
+                soft_limit_s=original.soft_limit_s - elapsed_s,
+                hard_limit_s=original.hard_limit_s - elapsed_s,
             )
             if job.hard_limit_s <= 0:
                 break
-            done = await self._ask(job, zone)
-            if not isinstance(done, kinds.Failure):
-                self._told[zone] = _Told(done.backlog_s, self._clock())
-                if done.results is not None:
-                    return self._keep(job, zone, done.results, kept)
-                if done.is_late:
+            outcome = await self._run_in_zone(job, zone)
+            if not isinstance(outcome, kinds.Failure):
+                self._backlog_reports[zone] = _BacklogReport(
+                    outcome.backlog_s, self._clock()
+                )
+                if outcome.results is not None:
+                    return self._record_results(
+                        job, zone, outcome.results, handles
+                    )
+                if outcome.is_late:
                     return kinds.Failure(
-                        kinds.Kind.HOPELESS, done.why, False, done.retry_s
+                        kinds.Kind.HOPELESS,
+                        outcome.reason,
+                        False,
+                        outcome.retry_s,
                     )
                 avoid.add(zone)
-                failure = kinds.Failure(kinds.Kind.STAGE_FAILED, done.why)
+                failure = kinds.Failure(
+                    kinds.Kind.STAGE_FAILED, outcome.reason
+                )
             else:
-                failure = done._replace(sent=False)
+                failure = outcome._replace(sent=False)
             self._journal.write(
                 "retry",
                 request=job.request,
@@ -172,27 +183,27 @@
         return await self._coordinator(zone).run(job)
 
     def free(self, handles):
-        """Give up results, through who had them made."""
+        """Free results, through the instances that coordinate their zones."""
         by_zone = {}
         for handle in handles:
             origin = self._origins.pop(handle, None)
             if origin is not None:
-                freed = FreedResult(origin.service, origin.held)
+                freed = FreedResult(origin.service, origin.ref)
                 by_zone.setdefault(origin.zone, []).append(freed)
         for zone, freed in by_zone.items():
-            name, control = self._owner(zone, self._clock())
-            if name == self._own:
+            name, control = self._coordinating_instance(zone, self._clock())
+            if name == self._instance:
                 self.free_locally(zone, freed)
             else:
-                call = self._free_there(zone, control, freed)
+                call = self._free_remotely(zone, control, freed)
                 self._spawn(call, name="free results")
 
     def free_locally(self, zone, freed):
-        """Give up results in a zone that this instance coordinates."""
+        """Free results in a zone that this instance coordinates."""
         self._coordinator(zone).free(freed)
 
     def zone_bytes(self, handles, stages):
-        """Return the bytes of final results that lie in each zone.
+        """Return the bytes of final results that are stored in each zone.
 
         Parameters
         ----------
@@ -200,13 +211,13 @@
         stages : tuple of Stage
         """
         sizes = {stage.service: stage.result_bytes for stage in stages}
-        found = {}
+        by_zone = {}
         for handle in handles:
             origin = self._origins.get(handle)
             if origin is not None:
                 size = sizes.get(origin.service, 0)
-                found[origin.zone] = found.get(origin.zone, 0) + size
-        return found
+                by_zone[origin.zone] = by_zone.get(origin.zone, 0) + size
+        return by_zone
 
     def choose_zone(self, job, now, engine_zone, avoid=()):
         """Return the zone in which a job should run, or None.
@@ -218,71 +229,80 @@
         engine_zone : str
             Zone of the engine that will fetch the results.
         avoid : collection of str
-            Zones that failed it, taken where there are no others.
+            Zones where it failed, used only if there are no others.
         """
         names = {s.service for s in job.stages if s.count}
         zones = {}
         for name in names:
             for each in self._catalog.endpoints(name, now):
-                good = not self._health.is_out(each, now)
-                held = zones.setdefault(each.zone, {})
-                held[name] = held.get(name, False) or good
-        left = [zone for zone in zones if zone not in avoid] or list(zones)
+                usable = not self._health.is_out(each, now)
+                services = zones.setdefault(each.zone, {})
+                services[name] = services.get(name, False) or usable
+        candidates = [zone for zone in zones if zone not in avoid] or (
+            list(zones)
+        )
         final = pieces.final_stages(job.stages)
-        size = sum(job.stages[i].size * job.stages[i].count for i in final)
+        size = sum(
+            job.stages[i].result_bytes * job.stages[i].count for i in final
+        )
 
         def cost(zone):
-            good = sum(zones[zone].values())
+            usable = sum(zones[zone].values())
             distance = self._placer.distance(zone)
-            wait = self._backlog(zone, names, now) + CROSSING_S * distance
+            wait_s = (
+                self._backlog_s(zone, names, now) + DISTANCE_COST_S * distance
+            )
             if zone != engine_zone:
-                wait += CROSSING_S_MB * size / MB
-            # A zone in which a service has no good endpoint borrows one
-            # of another zone, next to its own queue there.
-            return -good, wait, zone
+                wait_s += TRANSFER_COST_S_PER_MB * size / MB
+            # Where a service has no usable endpoint in the zone, those of
+            # other zones serve this queue as well as their own.
+            return -usable, wait_s, zone
 
-        return min(left, key=cost, default=None)
+        return min(candidates, key=cost, default=None)
 
-    def _backlog(self, zone, names, now):
-        told = self._told.get(zone)
-        if told is None or now - told.at > BACKLOG_TTL_S:
+    def _backlog_s(self, zone, names, now):
+        report = self._backlog_reports.get(zone)
+        if report is None or now - report.reported_at > BACKLOG_TTL_S:
             return 0.0
-        # What was told grows stale: it is worked off meanwhile.
-        backlog = max((told.backlog_s.get(n, 0.0) for n in names), default=0.0)
-        return max(0.0, backlog - (now - told.at))
-
-    def _keep(self, job, zone, results, kept):
-        """Remember where results lie; return their handles."""
-        handles = []
-        numbers = iter(results)
+        # Since the report, the zone has worked on its backlog.
+        backlog_s = max(
+            (report.backlog_s.get(n, 0.0) for n in names), default=0.0
+        )
+        return max(0.0, backlog_s - (now - report.reported_at))
+
+    def _record_results(self, job, zone, results, handles):
+        """Record where results are stored; return their handles."""
+        recorded = []
+        refs = iter(results)
         for index in pieces.final_stages(job.stages):
             stage = job.stages[index]
             for _ in range(stage.count):
-                held = next(numbers)
-                self._origins[held.handle] = _Origin(stage.service, zone, held)
-                handles.append(held.handle)
-        kept += handles
-        return handles
-
-    def _owner(self, zone, now):
+                ref = next(refs)
+                self._origins[ref.handle] = _Origin(stage.service, zone, ref)
+                recorded.append(ref.handle)
+        handles += recorded
+        return recorded
+
+    def _coordinating_instance(self, zone, now):
+        """Return name and address of the instance that coordinates a zone."""
         candidates = self._peers.eligible(zone, now)
         if not candidates:
-            # Nobody there to coordinate: better one queue too many than
-            # endpoints nobody uses.
-            return self._own, None
+            # No instance can coordinate the zone: an additional queue is
+            # better than endpoints that nobody uses.
+            return self._instance, None
         (name,) = rendezvous.top(zone, candidates, 1)
         return name, candidates[name]
 
-    async def _ask(self, job, zone):
-        name, control = self._owner(zone, self._clock())
-        if name == self._own:
+    async def _run_in_zone(self, job, zone):
+        name, control = self._coordinating_instance(zone, self._clock())
+        if name == self._instance:
             return await self.run_locally(job, zone)
         reply = await web.fetch(
             self._session,
             "POST",
             control,
             f"{RUN_PATH}?zone={zone}",
-            timeout=job.hard_limit_s + EXTRA_S,
+            timeout=job.hard_limit_s + CALL_EXTRA_S,
             body=job,
         )
         if isinstance(reply, kinds.Failure):
@@ -293,9 +313,9 @@
                 kinds.Kind.NO_ENDPOINT, f"instance answered {reply.status}"
             )
         self._peers.answered(control)
-        return msgspec.convert(reply.body, pieces.Done)
+        return msgspec.convert(reply.body, pieces.JobOutcome)
 
-    async def _free_there(self, zone, control, freed):
+    async def _free_remotely(self, zone, control, freed):
         await web.fetch(
             self._session,
             "POST",
@@ -318,24 +338,24 @@
 
 
 def _endpoints(core, zone, name, now):
-    """Return the endpoints that a zone's queue of a service feeds."""
+    """Return the endpoints that a zone's queue of a service may use."""
     health = core.part("health")
-    found = core.part("catalog").endpoints(name, now)
-    good = [each for each in found if not health.is_out(each, now)]
-    # The evidence may be wrong; pieces that wait for endpoints to come
-    # back are late for certain.
-    usable = good or list(found)
-    own = [each for each in usable if each.zone == zone]
-    return own or usable
+    listed = core.part("catalog").endpoints(name, now)
+    healthy = [each for each in listed if not health.is_out(each, now)]
+    # The health records may be wrong, while pieces that wait for endpoints
+    # to recover are certainly late.
+    usable = healthy or list(listed)
+    local = [each for each in usable if each.zone == zone]
+    return local or usable
 
 
 def _coordinator(core, zone):
-    def make_batcher(service, endpoints, plans):
+    def make_batcher(service, endpoints, scheduler):
         return batching.Batcher(
             service=service,
             endpoints=endpoints,
             lookup=core.part("catalog").endpoint,
-            plans=plans,
+            scheduler=scheduler,
             client=core.part("endpoint_client"),
             codec=core.part("platform"),
             health=core.part("health"),
@@ -350,7 +370,7 @@
         endpoints=functools.partial(_endpoints, core, zone),
         make_batcher=make_batcher,
         budget=core.part("budget"),
-        instances=core.part("peers").count,
+        instance_count=core.part("peers").count,
         journal=core.part("journal"),
         clock=core.clock,
     )
@@ -371,9 +391,9 @@
     ),
 )
 async def stages(core):
-    """Provide the way to have the stages of requests run."""
+    """Provide the `StageRunner`."""
     yield StageRunner(
-        own=core.settings.instance,
+        instance=core.settings.instance,
         zone=core.settings.zone,
         catalog=core.part("catalog"),
         peers=core.part("peers"),
--- a/sycamoreshed/staging/pieces.py
+++ b/sycamoreshed/staging/pieces.py
@@ -1,17 +1,17 @@
-"""Stages of a request, their pieces, and what instances tell of them."""
+"""Jobs, stages, pieces and results, as instances exchange them."""
 
 import itertools
 import typing
 
 __all__ = [
-    "Done",
-    "Held",
     "Job",
+    "JobOutcome",
     "Piece",
-    "Result",
+    "PieceOutcome",
+    "ResultRef",
     "StageWork",
     "final_stages",
-    "time_after",
+    "min_remaining_s",
 ]
 
 
@@ -22,33 +22,34 @@
     ----------
     service : str
     after : tuple of int
-        Indices of the stages whose results it takes.
+        Indices of the stages whose results are its inputs.
     count : int
-        Pieces; 0 if the request leaves the stage out.
-    size : int
-        Approximate bytes of one result.
+        Number of pieces; 0 if the request skips the stage.
+    result_bytes : int
+        Approximate size of one result.
     """
 
     service: str
     after: tuple[int, ...]
     count: int
-    size: int
+    result_bytes: int
 
 
 class Job(typing.NamedTuple):
-    """The stages of one request, as one instance asks another for them.
+    """The stages of one request, as one instance delegates them to another.
 
     Parameters
     ----------
     request : str
     stages : list of StageWork
     key : str or None
-        What pieces of first stages are made from.
+        Identifies the source data of pieces of first stages.
     target_s, soft_limit_s, hard_limit_s : float
-        Seconds from now by which all results should be there for the
-        answer to be in time, until which they are worked for while
-        others wait, and after which nobody waits for the answer.  Clocks
-        of instances differ, so no times are told.
+        Seconds from now by which all results should be available for the
+        answer to meet the route's target, after which the job is
+        abandoned while other jobs wait, and after which nobody waits for
+        the answer.  Relative times, because the clocks of instances
+        differ.
     team : str or None
     team_priority, priority : int
         Of the team and of the route; 0 is the most urgent.
@@ -65,39 +66,39 @@
     priority: int
 
 
-class Held(typing.NamedTuple):
-    """A result, and the id of the endpoint that holds it."""
+class ResultRef(typing.NamedTuple):
+    """Handle of a result, and the id of the endpoint that stores it."""
 
     handle: str
-    maker: str
+    endpoint: str
 
 
-class Done(typing.NamedTuple):
+class JobOutcome(typing.NamedTuple):
     """Answer to a `Job`.
 
     Parameters
     ----------
-    results : list of Held or None
-        Of the final stages, in order; None if there are none.
-    why : str or None
-        Why there are none.
+    results : list of ResultRef or None
+        Of the final stages, in order; None if the job failed.
+    reason : str or None
+        Why the job failed.
     is_late : bool
-        Whether it was given up for lack of time.
+        Whether it failed for lack of time.
     backlog_s : dict of str to float
         By service, the seconds of work that wait for each endpoint.
     retry_s : float or None
-        For a job that was refused: when it should be possible again.
+        For a rejected job, seconds after which it may be admitted.
     """
 
-    results: list[Held] | None
-    why: str | None
+    results: list[ResultRef] | None
+    reason: str | None
     is_late: bool
     backlog_s: dict[str, float]
     retry_s: float | None = None
 
 
 class Piece(typing.NamedTuple):
-    """A piece of work of one stage of one request.
+    """A unit of work of one stage of one request.
 
     Parameters
     ----------
@@ -105,11 +106,11 @@
     stage, index : int
         Which stage of the route, and which of its pieces.
     deadline : float
-        Monotonic time; begun later, it is done for nobody.
+        Monotonic time after which nobody waits for its result.
     key : str or None
-        What a piece of a first stage is made from.
+        Identifies the source data of a piece of a first stage.
     inputs : tuple of str
-        Handles of the results that a later stage takes.
+        Handles of the results that a piece of a later stage needs.
     """
 
     request: str
@@ -120,19 +121,19 @@
     inputs: tuple = ()
 
 
-class Result(typing.NamedTuple):
-    """Where the result of a piece lies, or why there is none.
+class PieceOutcome(typing.NamedTuple):
+    """Where the result of a piece is stored, or why there is none.
 
     Parameters
     ----------
-    held : Held or None
-    why : str or None
+    ref : ResultRef or None
+    reason : str or None
     sent : bool
         Whether a call with the piece reached an endpoint.
     """
 
-    held: Held | None
-    why: str | None = None
+    ref: ResultRef | None
+    reason: str | None = None
     sent: bool = False
 
 
@@ -148,13 +149,13 @@
     return [i for i in range(len(stages)) if i not in followed]
 
 
-def least_time(stage, spec):
+def stage_s(stage, spec):
     """Return the seconds that a call with a stage's pieces takes."""
     return spec.call_s + min(stage.count, spec.batch) * spec.piece_s
 
 
-def time_after(stages, index, specs):
-    """Return the least time from the end of a stage to all results.
+def min_remaining_s(stages, index, specs):
+    """Return the shortest time from the end of a stage to all results.
 
     Parameters
     ----------
@@ -165,12 +166,12 @@
     Returns
     -------
     float
-        Seconds, if nothing waits anywhere.
+        Seconds, if no later stage has to wait for an endpoint.
     """
-    longest = 0.0
+    longest_s = 0.0
     for later, stage in enumerate(stages):
         if index in stage.after and stage.count:
-            least = least_time(stage, specs[stage.service])
-            after = least + time_after(stages, later, specs)
-            longest = max(longest, after)
-    return longest
+            own_s = stage_s(stage, specs[stage.service])
+            path_s = own_s + min_remaining_s(stages, later, specs)
+            longest_s = max(longest_s, path_s)
+    return longest_s
--- a/sycamoreshed/staging/pool.py
+++ b/sycamoreshed/staging/pool.py
@@ -1,77 +1,78 @@
-"""Decides which pieces go into the next call, and to which endpoint.
+"""Selects the pieces of the next call, and the endpoint it goes to.
 
 A call takes a fixed time and a little more for each piece, so pieces of
-many requests share calls: those that come while all endpoints are busy
-gather, and the next free endpoint takes as many as a call may hold.
+many requests share calls: those that arrive while all endpoints are busy
+are queued, and the next free endpoint gets as many as a call may have.
 """
 
 import bisect
 import typing
 
-__all__ = ["Batch", "Pool", "Waiting", "is_large"]
+__all__ = ["Batch", "Pool", "QueuedPiece", "is_large_result"]
 
-# Weight of the newest call in how slow an endpoint is; two calls tell.
-SLOW_WEIGHT = 0.5
-# Results of more than this share of an endpoint's room are large: a few calls
-# fill it.
+# Weight of the newest call in an endpoint's slowdown; two calls are enough to
+# show one.
+SLOWDOWN_WEIGHT = 0.5
+# Results of more than this share of an endpoint's memory are large: a few
+# calls fill it.
 LARGE_SHARE = 0.04
-# How long an endpoint's word that it has no room goes before what is counted
-# here: it may hold results of an instance that batched before, or larger
-# ones than the configuration says.  Some two calls; then it is tried again.
-FULL_S = 0.5
+# How long an endpoint's report that its memory is full overrides the count
+# kept here: it may store results for an instance that used it before, or
+# larger ones than configured.  About two calls; then it is tried again.
+FULL_TTL_S = 0.5
 
 
-class Waiting(typing.NamedTuple):
-    """A piece that waits for its turn.
+class QueuedPiece(typing.NamedTuple):
+    """A piece that waits to be sent.
 
     Parameters
     ----------
     piece : Piece
     rank : tuple
-        The least goes first; equal for all pieces of a stage.
-    size : int
-        Approximate bytes of its result.
-    since : float
-    done : asyncio.Future
-        Gets a `Result`.
+        Sort key, smallest first; equal for all pieces of a stage.
+    result_bytes : int
+        Approximate size of its result.
+    queued_at : float
+    future : asyncio.Future
+        Gets a `PieceOutcome`.
     """
 
     piece: typing.Any
     rank: tuple
-    size: int
-    since: float
-    done: typing.Any
+    result_bytes: int
+    queued_at: float
+    future: typing.Any
 
 
 class Batch(typing.NamedTuple):
     """Pieces for one call of one endpoint."""
 
     endpoint: typing.Any
-    waiting: list
+    entries: list
 
 
-def is_large(size, spec):
-    """Return whether few results of a size fill an endpoint's room."""
+def is_large_result(size, spec):
+    """Return whether a few results of a size fill an endpoint's memory."""
     return size >= LARGE_SHARE * spec.room_bytes
 
 
-def _by_stage(queue):
+def _group_by_stage(queue):
     """Return lists of the entries of each request's stages, in order.
 
     Notes
     -----
-    A service may work on two stages of a request, of which one has to wait
-    until the other is done.
+    A service may process two stages of a request, one of which has to wait
+    for the other.
     """
     groups = {}
-    for waiting in queue:
-        key = waiting.piece.request, waiting.piece.stage
-        groups.setdefault(key, []).append(waiting)
+    for entry in queue:
+        key = entry.piece.request, entry.piece.stage
+        groups.setdefault(key, []).append(entry)
     return groups.values()
 
 
 class Pool:
-    """The queue of a service, and the endpoints that work on it.
+    """The queue of a service, and the load of its endpoints.
 
     Parameters
     ----------
@@ -81,79 +82,82 @@
     def __init__(self, *, spec):
         self.spec = spec
         self._queue = []
+        # By endpoint: expected ends of its calls, bytes of stored results,
+        # reports that its memory is full, and slowdown.  Expiry times of
+        # results are by handle.
         self._calls = {}
-        self._held = {}
+        self._stored = {}
         self._expiry = {}
         self._full = {}
-        self._slow = {}
+        self._slowdowns = {}
 
     @property
     def queued(self):
-        """Pieces that wait."""
+        """Number of pieces in the queue."""
         return len(self._queue)
 
     @property
-    def held_bytes(self):
-        """Bytes of results that all endpoints hold."""
-        return sum(self._held.values())
+    def stored_bytes(self):
+        """Bytes of results that all endpoints store."""
+        return sum(self._stored.values())
 
-    def slowness(self, endpoint):
-        """Return how many times longer its calls take than they should.
+    def slowdown(self, endpoint):
+        """Return how many times longer its calls take than configured.
 
         Notes
         -----
-        An endpoint can turn slow without failing.  Taken at the speed
-        the configuration tells, its zone would go on being sent requests
-        that it answers four times too late.
+        An endpoint can become slow without failing.  If the configured
+        speed were assumed, its zone would still be sent requests, and
+        answer them four times too late.
         """
-        return self._slow.get(endpoint.id, 1.0)
+        return self._slowdowns.get(endpoint.id, 1.0)
 
     def calls(self, endpoint):
-        """Return the calls in progress at an endpoint."""
+        """Return the number of calls in progress at an endpoint."""
         return len(self._calls.get(endpoint.id, ()))
 
-    def add(self, waiting):
+    def add(self, entry):
         """Put a piece into the queue."""
-        bisect.insort(self._queue, waiting, key=lambda each: each.rank)
+        bisect.insort(self._queue, entry, key=lambda each: each.rank)
 
     def discard(self, request, stage):
-        """Drop what waits for a request's stage that nobody wants."""
+        """Remove a stage's queued pieces that nobody waits for any more."""
         self._queue = [
             each
             for each in self._queue
             if (each.piece.request, each.piece.stage) != (request, stage)
         ]
 
-    def take_late(self, now):
-        """Remove and return what can no longer be done in time."""
-        least = self.work(1)
-        late = [w for w in self._queue if now + least > w.piece.deadline]
+    def pop_late(self, now):
+        """Remove and return pieces that can no longer meet their deadlines."""
+        min_s = self.call_s(1)
+        late = [e for e in self._queue if now + min_s > e.piece.deadline]
         if late:
             self._queue = [
-                w for w in self._queue if now + least <= w.piece.deadline
+                e for e in self._queue if now + min_s <= e.piece.deadline
             ]
         return late
 
-    def next_batch(self, endpoints, now, *, may_start, hold=None):
-        """Take the pieces of the next call from the queue.
+    def next_batch(self, endpoints, now, *, can_start, should_wait=None):
+        """Remove the pieces of the next call from the queue.
 
         Parameters
         ----------
         endpoints : iterable of Endpoint
             Those that may get calls now.
         now : float
-        may_start : callable
-            Takes a `Piece`; False while the stage that follows has
-            enough waiting already.
-        hold : callable, optional
-            Takes the pieces chosen for the last free endpoint; True if
-            the call waits for more of them.
+        can_start : callable
+            Takes a `Piece`; False while the next stage has enough
+            pending pieces.
+        should_wait : callable, optional
+            Takes the pieces selected for the last free endpoint; True if
+            the call should wait for more of them.
 
         Returns
         -------
         Batch or None
-            None if nothing waits that may start, or no endpoint is free
-            and has room.
+            None if no queued piece can start, or no endpoint is free and
+            has memory for a result.
         """
         if not self._queue:
             return None
@@ -163,149 +167,163 @@
         ]
         if not free:
             return None
-        endpoint = max(free, key=self.room)
-        chosen = self._fill(self.room(endpoint), may_start)
-        if not chosen:
+        endpoint = max(free, key=self.free_bytes)
+        selected = self._select(self.free_bytes(endpoint), can_start)
+        if not selected:
             return None
-        if hold is not None and len(free) == 1 and hold(chosen):
+        if (
+            should_wait is not None
+            and len(free) == 1
+            and should_wait(selected)
+        ):
             return None
-        taken = {id(waiting) for waiting in chosen}
-        self._queue = [w for w in self._queue if id(w) not in taken]
-        return Batch(endpoint, chosen)
-
-    def _fill(self, room, may_start):
-        chosen = []
-        passed = []
-        for group in _by_stage(self._queue):
-            if not may_start(group[0].piece):
+        selected_ids = {id(entry) for entry in selected}
+        self._queue = [e for e in self._queue if id(e) not in selected_ids]
+        return Batch(endpoint, selected)
+
+    def _select(self, free_bytes, can_start):
+        selected = []
+        postponed = []
+        for group in _group_by_stage(self._queue):
+            if not can_start(group[0].piece):
                 continue
-            left = self.spec.batch - len(chosen)
-            size = sum(waiting.size for waiting in group)
-            if size > room and self._is_whole(group, size):
-                # Room that becomes free is kept for it, or smaller ones
-                # behind would take it again and again.
-                room = min(room, group[0].size - 1)
+            capacity = self.spec.batch - len(selected)
+            size = sum(entry.result_bytes for entry in group)
+            if size > free_bytes and self._is_indivisible(group, size):
+                # Memory that becomes free is reserved for it; otherwise
+                # smaller groups behind it would take it again and again.
+                free_bytes = min(free_bytes, group[0].result_bytes - 1)
                 continue
-            if chosen and (len(group) > left or size > room):
-                passed.append(group)
+            if selected and (len(group) > capacity or size > free_bytes):
+                postponed.append(group)
                 continue
-            room = _take(group[:left], room, chosen)
-        # Torn apart, a request waits for the second part a call longer; a
-        # call that goes out half full costs all others as much.
-        for group in passed:
-            left = self.spec.batch - len(chosen)
-            room = _take(group[:left], room, chosen)
-        return chosen
-
-    def _is_whole(self, group, size):
-        """Return whether a request's pieces are sent together or not at all.
+            free_bytes = _select_fitting(
+                group[:capacity], free_bytes, selected
+            )
+        # A split request waits one call longer for its second part, but a
+        # call that goes out half full delays all others as much.
+        for group in postponed:
+            capacity = self.spec.batch - len(selected)
+            free_bytes = _select_fitting(
+                group[:capacity], free_bytes, selected
+            )
+        return selected
+
+    def _is_indivisible(self, group, size):
+        """Return whether a request's pieces are sent all in one call.
 
         Notes
         -----
-        Results of encoders fill an endpoint's room with those of a few
-        requests.  Sent in parts as single results find room, many
-        requests each hold some and wait for the rest, in calls of one or
-        two pieces.  What fits into no call or no endpoint has to be
-        parted.
+        The encoder results of a few requests fill an endpoint's memory.
+        If pieces were sent one by one as memory for a result becomes
+        free, many requests would store some results each and wait for
+        the rest, in calls of one or two pieces.  What fits into no call
+        or no endpoint has to be split.
         """
         return (
-            is_large(group[0].size, self.spec)
+            is_large_result(group[0].result_bytes, self.spec)
             and size <= self.spec.room_bytes
             and len(group) <= self.spec.batch
         )
 
-    def room(self, endpoint):
-        """Return the bytes left for results at an endpoint."""
-        held = self._held.get(endpoint.id, 0)
+    def free_bytes(self, endpoint):
+        """Return the free memory for results at an endpoint."""
+        stored = self._stored.get(endpoint.id, 0)
         _, unknown = self._full.get(endpoint.id, (0.0, 0.0))
-        return self.spec.room_bytes - held - unknown
+        return self.spec.room_bytes - stored - unknown
 
-    def begin(self, batch, now):
-        """Count a call that is sent, and the room of its results.
+    def start_call(self, batch, now):
+        """Count a call that is sent, and the memory for its results.
 
         Returns
         -------
         float
-            When it should be done.
+            When it should end.
         """
         key = batch.endpoint.id
-        work = self.work(len(batch.waiting))
-        ready = now + work * self.slowness(batch.endpoint)
-        self._calls.setdefault(key, []).append(ready)
-        size = sum(each.size for each in batch.waiting)
-        self._held[key] = self._held.get(key, 0) + size
-        return ready
-
-    def end(self, batch, ready, results, now):
+        work_s = self.call_s(len(batch.entries))
+        expected_end = now + work_s * self.slowdown(batch.endpoint)
+        self._calls.setdefault(key, []).append(expected_end)
+        size = sum(each.result_bytes for each in batch.entries)
+        self._stored[key] = self._stored.get(key, 0) + size
+        return expected_end
+
+    def end_call(self, batch, expected_end, outcomes, now):
         """Count the end of a call.
 
         Parameters
         ----------
         batch : Batch
-        ready : float
-            As `begin` returned it.
-        results : list of Result
+        expected_end : float
+            As `start_call` returned it.
+        outcomes : list of PieceOutcome
         now : float
         """
         key = batch.endpoint.id
-        self._calls[key].remove(ready)
-        if any(result.held for result in results):
-            self._observe(batch, ready, now)
-        until = now + self.spec.result_ttl_s
-        for waiting, result in zip(batch.waiting, results, strict=True):
-            if result.held is None:
-                self._release(key, waiting.size)
+        self._calls[key].remove(expected_end)
+        if any(outcome.ref for outcome in outcomes):
+            self._update_slowdown(batch, expected_end, now)
+        expires_at = now + self.spec.result_ttl_s
+        for entry, outcome in zip(batch.entries, outcomes, strict=True):
+            if outcome.ref is None:
+                self._release(key, entry.result_bytes)
             else:
-                self._expiry[result.held.handle] = (until, key, waiting.size)
-        refused = [
-            waiting.size
-            for waiting, result in zip(batch.waiting, results, strict=True)
-            if result.why == "room"
+                self._expiry[outcome.ref.handle] = (
+                    expires_at,
+                    key,
+                    entry.result_bytes,
+                )
+        rejected = [
+            entry.result_bytes
+            for entry, outcome in zip(batch.entries, outcomes, strict=True)
+            if outcome.reason == "room"
         ]
-        if refused:
-            # Its room is less than the least of these.
+        if rejected:
+            # Its free memory is less than the smallest of these.
             self._full.pop(key, None)
-            unknown = self.room(batch.endpoint) - min(refused) / 2
-            self._full[key] = (now + FULL_S, max(0.0, unknown))
-
-    def _observe(self, batch, ready, now):
-        slow = self.slowness(batch.endpoint)
-        work = self.work(len(batch.waiting))
-        began = ready - work * slow
-        found = max(1.0, (now - began) / work)
-        self._slow[batch.endpoint.id] = slow + SLOW_WEIGHT * (found - slow)
+            unknown = self.free_bytes(batch.endpoint) - min(rejected) / 2
+            self._full[key] = (now + FULL_TTL_S, max(0.0, unknown))
+
+    def _update_slowdown(self, batch, expected_end, now):
+        slowdown = self.slowdown(batch.endpoint)
+        work_s = self.call_s(len(batch.entries))
+        started_at = expected_end - work_s * slowdown
+        measured = max(1.0, (now - started_at) / work_s)
+        self._slowdowns[batch.endpoint.id] = slowdown + SLOWDOWN_WEIGHT * (
+            measured - slowdown
+        )
 
     def free(self, handle):
-        """Release the room of a result that is freed or has expired."""
-        held = self._expiry.pop(handle, None)
-        if held is not None:
-            _, key, size = held
+        """Count the memory of a freed or expired result as free."""
+        stored = self._expiry.pop(handle, None)
+        if stored is not None:
+            _, key, size = stored
             self._release(key, size)
 
-    def work(self, count):
-        """Return the seconds that a call with so many pieces takes."""
+    def call_s(self, count):
+        """Return the configured seconds of a call with `count` pieces."""
         return self.spec.call_s + count * self.spec.piece_s
 
     def _expire(self, now):
-        late = [
+        expired = [
             handle
-            for handle, (until, _, _) in self._expiry.items()
-            if until <= now
+            for handle, (expires_at, _, _) in self._expiry.items()
+            if expires_at <= now
         ]
-        for handle in late:
+        for handle in expired:
             self.free(handle)
-        for key, (until, _) in list(self._full.items()):
-            if until <= now:
+        for key, (expires_at, _) in list(self._full.items()):
+            if expires_at <= now:
                 del self._full[key]
 
     def _release(self, key, size):
-        self._held[key] = max(0, self._held.get(key, 0) - size)
+        self._stored[key] = max(0, self._stored.get(key, 0) - size)
 
 
-def _take(group, room, chosen):
-    """Move the pieces of a group that fit; return the room left."""
-    for waiting in group:
-        if waiting.size <= room:
-            room -= waiting.size
-            chosen.append(waiting)
-    return room
+def _select_fitting(group, free_bytes, selected):
+    """Select the pieces of a group that fit; return the bytes still free."""
+    for entry in group:
+        if entry.result_bytes <= free_bytes:
+            free_bytes -= entry.result_bytes
+            selected.append(entry)
+    return free_bytes
--- a/sycamoreshed/staging/tests/builders.py
+++ b/sycamoreshed/staging/tests/builders.py
@@ -1,17 +1,17 @@
-"""Builders of jobs, pools and plans."""
+"""Builders of jobs, schedulers and queued pieces."""
 
 import concurrent.futures
 
 from sycamoreshed.catalog import types
 from sycamoreshed.staging import pieces
-from sycamoreshed.staging import planning
 from sycamoreshed.staging import pool
+from sycamoreshed.staging import scheduling
 
-__all__ = ["endpoint", "job", "plans", "spec", "waiting"]
+__all__ = ["endpoint", "job", "queued_piece", "scheduler", "spec"]
 
 
 def spec(**changes):
-    """Return how an endpoint works on pieces."""
+    """Return how an endpoint processes pieces."""
     values = {
         "slots": 1,
         "queue": 2,
@@ -26,7 +26,7 @@
 
 
 def endpoint(name):
-    """Return an endpoint of the service."""
+    """Return an endpoint of the first service."""
     return types.Endpoint(name, "first", f"{name}:80", "north-a", 1)
 
 
@@ -58,16 +58,18 @@
     )
 
 
-def plans(specs=None, *, places=1, held=0):
-    """Return the plans of a zone with like endpoints."""
+def scheduler(specs=None, *, concurrency=1, stored_bytes=0):
+    """Return the scheduler of a zone whose services are all alike."""
     specs = specs or {"first": spec(), "second": spec()}
-    return planning.Plans(
-        specs=specs.get, places=lambda _: places, held=lambda _: held
+    return scheduling.Scheduler(
+        specs=specs.get,
+        concurrency=lambda _: concurrency,
+        stored_bytes=lambda _: stored_bytes,
     )
 
 
-def waiting(request, index, *, rank=0, size=100, deadline=9.0):
-    """Return a piece that waits."""
+def queued_piece(request, index, *, rank=0, result_bytes=100, deadline=9.0):
+    """Return a piece in the queue."""
     piece = pieces.Piece(request, 0, index, deadline=deadline, key="k")
-    done = concurrent.futures.Future()
-    return pool.Waiting(piece, (rank, request), size, 0.0, done)
+    future = concurrent.futures.Future()
+    return pool.QueuedPiece(piece, (rank, request), result_bytes, 0.0, future)
--- a/sycamoreshed/staging/tests/test_batching.py
+++ b/sycamoreshed/staging/tests/test_batching.py
@@ -1,4 +1,4 @@
-"""Calls with pieces, and results that are given up."""
+"""Tests of calls with pieces, and of calls that free results."""
 
 import asyncio
 
@@ -15,30 +15,30 @@
 from testkit import journals
 
 
-# A clock that stands still: what waits for a time waits for ever.
+# Time of a clock that stands still: what waits for a time waits for ever.
 NOW = 100.0
 
 
 class Client:
-    """Keeps the addresses and paths that were sent to; answers nothing."""
+    """Records calls and fails them."""
 
     def __init__(self):
         self.sent = []
 
     async def send(self, _method, address, path, _headers, body, *, within):
-        """Keep a call."""
+        """Record a call."""
         self.sent.append((address, path, body))
         return kinds.Failure(kinds.Kind.REFUSED, "no answer", sent=True)
 
     async def tell(self, address, path, headers, body, *, within):
-        """Keep a call."""
+        """Record a call."""
         return await self.send(
             "POST", address, path, headers, body, within=within
         )
 
 
 class Codec:
-    """The calls of the platform that a batcher makes."""
+    """Encodes the calls of a batcher as the platform does."""
 
     piece_call = staticmethod(calls.piece_call)
     free_call = staticmethod(calls.free_call)
@@ -46,20 +46,22 @@
 
 @pytest.fixture
 def client():
-    """Return a client that answers nothing."""
+    """Return a client that fails all calls."""
     return Client()
 
 
-def batcher(client, *, endpoints, known, plans=None, name="first", clock=None):
-    """Return a batcher; `known` are all endpoints there are."""
+def build_batcher(
+    client, *, endpoints, listed, scheduler=None, name="first", clock=None
+):
+    """Return a batcher; `listed` are all endpoints of the catalog."""
     journal = journals.Journal()
     service = types.Service(name, "/healthz", 100, None, builders.spec())
     loop = asyncio.get_running_loop()
     return batching.Batcher(
         service=service,
         endpoints=lambda _now: endpoints,
-        lookup={each.id: each for each in known}.get,
-        plans=plans or builders.plans(),
+        lookup={each.id: each for each in listed}.get,
+        scheduler=scheduler or builders.scheduler(),
         client=client,
         codec=Codec(),
         health=health.Health(journal=journal),
@@ -69,26 +71,28 @@
     )
 
 
-async def test_results_at_an_endpoint_that_is_not_used_now_are_freed(client):
-    """An endpoint with results is avoided, or was borrowed from a zone.
+async def test_results_at_an_endpoint_that_is_not_in_use_are_freed(client):
+    """An endpoint with results is avoided, or belongs to another zone.
 
-    Not told, it keeps the results until they expire, has no room, and
-    refuses the pieces of everybody.
+    Without the call, it stores the results until they expire, and rejects
+    all pieces because its memory is full.
     """
     avoided = builders.endpoint("avoided")
-    found = batcher(
-        client, endpoints=[builders.endpoint("e")], known=[avoided]
+    batcher = build_batcher(
+        client, endpoints=[builders.endpoint("e")], listed=[avoided]
+    )
+    batcher.free(
+        [pieces.ResultRef("h1", "avoided"), pieces.ResultRef("h2", "avoided")]
     )
-    found.free([pieces.Held("h1", "avoided"), pieces.Held("h2", "avoided")])
     await asyncio.sleep(3 * batching.FREE_DELAY_S)
     ((address, _, body),) = client.sent
     assert address == "avoided:80"
     assert body == b'{"handles":["h1","h2"]}'
 
 
-async def test_results_of_an_endpoint_that_is_gone_are_forgotten(client):
-    found = batcher(client, endpoints=[], known=[])
-    found.free([pieces.Held("h1", "gone")])
+async def test_no_call_frees_results_of_an_endpoint_that_is_gone(client):
+    batcher = build_batcher(client, endpoints=[], listed=[])
+    batcher.free([pieces.ResultRef("h1", "gone")])
     await asyncio.sleep(3 * batching.FREE_DELAY_S)
     assert not client.sent
 
@@ -99,44 +103,48 @@
 
 
 def second_stage(client, due_in_s):
-    """Return a second stage's batcher, its plans and two of them.
+    """Return a second stage's batcher and two jobs.
 
-    The first plan's piece can be sent; the call that the second one's
-    needs ends `due_in_s` from now.
+    The first job's piece can be sent; the call that computes the inputs of
+    the second job's ends `due_in_s` from now.
     """
     endpoint = builders.endpoint("e")
-    plans = builders.plans()
-    found = batcher(
+    scheduler = builders.scheduler()
+    batcher = build_batcher(
         client,
         endpoints=[endpoint],
-        known=[endpoint],
-        plans=plans,
+        listed=[endpoint],
+        scheduler=scheduler,
         name="second",
         clock=lambda: NOW,
     )
-    here = plans.admit(builders.job("here", counts=(0, 1)), NOW)
-    coming = plans.admit(builders.job("coming", counts=(1, 1)), NOW)
-    plans.started(coming, 0, 1, NOW + due_in_s)
-    return found, here, coming
+    ready = scheduler.admit(builders.job("here", counts=(0, 1)), NOW)
+    upcoming = scheduler.admit(builders.job("coming", counts=(1, 1)), NOW)
+    scheduler.record_sent(upcoming, 0, 1, NOW + due_in_s)
+    return batcher, ready, upcoming
 
 
-async def test_a_call_waits_for_pieces_that_come_in_a_moment(client):
-    """A stage's call ends 30 ms after the next stage's endpoint is free.
+async def test_a_call_waits_for_pieces_that_are_due_soon(client):
+    """A call of a stage ends 30 ms after an endpoint of the next is free.
 
-    Sent at once with one request's piece, the next stage's call takes its
-    fixed time, and the other request waits for all of it.
+    If the next stage's call is sent at once with one request's piece, it
+    takes its fixed time, and the other request waits for its end.
     """
-    found, here, coming = second_stage(client, 0.03)
+    batcher, ready, upcoming = second_stage(client, 0.03)
     tasks = [
         asyncio.create_task(
-            found.make(here, [second_piece("here", here.deadline)], 1)
+            batcher.run_pieces(
+                ready, [second_piece("here", ready.deadline)], 1
+            )
         )
     ]
     await asyncio.sleep(0.005)
     assert not client.sent
     tasks.append(
         asyncio.create_task(
-            found.make(coming, [second_piece("coming", coming.deadline)], 1)
+            batcher.run_pieces(
+                upcoming, [second_piece("coming", upcoming.deadline)], 1
+            )
         )
     )
     await asyncio.sleep(0.005)
@@ -147,14 +155,14 @@
         task.cancel()
 
 
-async def test_a_call_does_not_wait_where_that_makes_it_late(client):
-    """The piece that waits has just the time that its own call takes."""
-    found, here, _ = second_stage(client, 0.09)
-    # The job is given up a second after its aim, and so is its piece; a
-    # call with one piece takes 0.16 s.
-    deadline = here.aim + 0.17
+async def test_a_call_does_not_wait_if_that_makes_a_piece_late(client):
+    """The queued piece has just the time that its own call takes."""
+    batcher, ready, _ = second_stage(client, 0.09)
+    # The deadline of a job, and of its piece, is a second after the target
+    # time; a call with one piece takes 0.16 s.
+    deadline = ready.target_at + 0.17
     task = asyncio.create_task(
-        found.make(here, [second_piece("here", deadline)], 1)
+        batcher.run_pieces(ready, [second_piece("here", deadline)], 1)
     )
     await asyncio.sleep(0.005)
     assert len(client.sent) == 1
--- a/sycamoreshed/staging/tests/test_coordinator.py
+++ b/sycamoreshed/staging/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Jobs on their way through all their stages."""
+"""Tests of jobs that run through all their stages."""
 
 import asyncio
 
@@ -13,120 +13,124 @@
 
 
 class Batcher:
-    """Makes pieces by a script, and keeps what is given up."""
+    """Gets the outcomes of pieces from a script; records freed results."""
 
     def __init__(self, name, script):
         self.service = types.Service(name, "/", 9, None, builders.spec())
-        self.places = 1
-        self.held_bytes = 0
+        self.concurrency = 1
+        self.stored_bytes = 0
         self.freed = []
         self.calls = 0
         self._script = script
 
-    async def make(self, _plan, wanted, _size):
-        """Make pieces, after a moment."""
+    async def run_pieces(self, _admitted, requested, _result_bytes):
+        """Return the outcomes of pieces, after a moment."""
         self.calls += 1
         await asyncio.sleep(0.01)
-        return [self._script(piece) for piece in wanted]
+        return [self._script(piece) for piece in requested]
 
-    def free(self, results):
-        """Keep what is given up."""
-        self.freed += [held.handle for held in results]
+    def free(self, refs):
+        """Record the handles of freed results."""
+        self.freed += [ref.handle for ref in refs]
 
     def wake(self):
         """Do nothing."""
 
 
-def made(piece):
-    """Return a result that names its piece."""
+def succeed(piece):
+    """Return a result whose handle names its piece."""
     handle = f"{piece.stage}/{piece.index}"
-    return pieces.Result(pieces.Held(handle, "e"), None, sent=True)
+    return pieces.PieceOutcome(pieces.ResultRef(handle, "e"), None, sent=True)
 
 
-def failed(_piece):
-    """Return no result."""
-    return pieces.Result(None, "gone", sent=True)
+def fail(_piece):
+    """Return a failure."""
+    return pieces.PieceOutcome(None, "gone", sent=True)
 
 
 def zone(**scripts):
     """Return a coordinator, and its batchers by service."""
-    found = {name: Batcher(name, each) for name, each in scripts.items()}
-    result = coordinator.Coordinator(
+    batchers = {name: Batcher(name, each) for name, each in scripts.items()}
+    runner = coordinator.Coordinator(
         zone="north-a",
-        services=lambda name: found[name].service if name in found else None,
+        services=lambda name: (
+            batchers[name].service if name in batchers else None
+        ),
         endpoints=lambda _name, _now: [builders.endpoint("e")],
-        make_batcher=lambda service, _endpoints, _plans: found[service.name],
+        make_batcher=lambda service, _endpoints, _scheduler: batchers[
+            service.name
+        ],
         budget=budget.RepeatBudget(ratio=1.0, slack=9, window_s=10),
-        instances=lambda: 1,
+        instance_count=lambda: 1,
         journal=journals.Journal(),
         clock=asyncio.get_running_loop().time,
     )
-    return result, found
+    return runner, batchers
 
 
 def job(*stages):
-    """Return a job; a stage is its service, what it is after, its count."""
-    works = [
+    """Return a job; a stage is its service, inputs and number of pieces."""
+    stage_works = [
         pieces.StageWork(service, after, count, 10)
         for service, after, count in stages
     ]
-    return pieces.Job("r", works, "key", 5.0, 6.0, 9.0, None, 0, 0)
+    return pieces.Job("r", stage_works, "key", 5.0, 6.0, 9.0, None, 0, 0)
 
 
 async def test_results_of_final_stages_in_order():
-    """Results that only other stages took are freed on the way."""
-    found, batchers = zone(first=made, second=made)
-    done = await found.run(job(("first", (), 2), ("second", (0,), 2)))
-    assert [held.handle for held in done.results] == ["1/0", "1/1"]
+    """Results of other stages are freed once no stage needs them."""
+    runner, batchers = zone(first=succeed, second=succeed)
+    outcome = await runner.run(job(("first", (), 2), ("second", (0,), 2)))
+    assert [ref.handle for ref in outcome.results] == ["1/0", "1/1"]
     assert sorted(batchers["first"].freed) == ["0/0", "0/1"]
     assert not batchers["second"].freed
 
 
-async def test_a_branch_that_fails_ends_the_others():
+async def test_the_failure_of_a_branch_cancels_the_others():
     """One of two branches fails while the next stage waits for the other.
 
-    The wait is cancelled; the coordinator must not break with it, or the
-    instance that asked sees its connection closed instead of an answer.
+    Cancelling the wait must not raise in the coordinator, or the instance
+    that delegated the job sees a closed connection instead of an answer.
     """
-    found, batchers = zone(bad=failed, first=made, second=made)
-    done = await found.run(
+    runner, batchers = zone(bad=fail, first=succeed, second=succeed)
+    outcome = await runner.run(
         job(("bad", (), 1), ("first", (), 2), ("second", (1,), 1))
     )
-    assert done.results is None
-    assert done.why == "gone"
-    assert not done.is_late
+    assert outcome.results is None
+    assert outcome.reason == "gone"
+    assert not outcome.is_late
     await asyncio.sleep(0.05)
     assert sorted(batchers["first"].freed) == ["1/0", "1/1"]
 
 
-async def test_only_pieces_that_are_missing_are_asked_for_again():
+async def test_only_missing_pieces_are_retried():
     """An endpoint fails one of three pieces, once."""
-    seen = []
+    attempted = []
 
     def flaky(piece):
-        seen.append(piece.index)
-        if piece.index == 1 and seen.count(1) == 1:
-            return pieces.Result(None, "error", sent=True)
-        return made(piece)
+        attempted.append(piece.index)
+        if piece.index == 1 and attempted.count(1) == 1:
+            return pieces.PieceOutcome(None, "error", sent=True)
+        return succeed(piece)
 
-    found, _ = zone(first=flaky)
-    done = await found.run(job(("first", (), 3)))
-    assert len(done.results) == 3
-    assert seen == [0, 1, 2, 1]
+    runner, _ = zone(first=flaky)
+    outcome = await runner.run(job(("first", (), 3)))
+    assert len(outcome.results) == 3
+    assert attempted == [0, 1, 2, 1]
 
 
-async def test_stages_without_pieces_are_left_out():
-    found, batchers = zone(first=made, second=made)
-    done = await found.run(job(("first", (), 0), ("second", (), 1)))
-    assert [held.handle for held in done.results] == ["1/0"]
+async def test_stages_without_pieces_are_skipped():
+    runner, batchers = zone(first=succeed, second=succeed)
+    outcome = await runner.run(job(("first", (), 0), ("second", (), 1)))
+    assert [ref.handle for ref in outcome.results] == ["1/0"]
     assert not batchers["first"].calls
 
 
-async def test_who_asked_and_left_gets_no_results():
-    """The caller hangs up while the second stage is worked on."""
-    found, batchers = zone(first=made, second=made)
+async def test_results_are_freed_when_the_caller_disconnects():
+    """The caller disconnects while the second stage is processed."""
+    runner, batchers = zone(first=succeed, second=succeed)
     task = asyncio.create_task(
-        found.run(job(("first", (), 1), ("second", (0,), 1)))
+        runner.run(job(("first", (), 1), ("second", (0,), 1)))
     )
     await asyncio.sleep(0.015)
     task.cancel()
--- a/sycamoreshed/staging/tests/test_loads.py
+++ b/sycamoreshed/staging/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Loads that are played in simulated time: what callers get of a zone."""
+"""Tests of a zone under simulated load: which jobs meet their targets."""
 
 import random
 
@@ -28,17 +28,20 @@
     )
 
 
-def urgent(name, chance):
-    """Return a job of one stage with large results."""
-    count = chance.choice((1, 2, 2, 3, 4))
+def urgent(name, rng):
+    """Return an urgent job of one stage with large results."""
+    count = rng.choice((1, 2, 2, 3, 4))
     stages = [pieces.StageWork("first", (), count, LARGE)]
     return _job(name, stages, priority=0, target_s=1.0)
 
 
-def patient(name, chance):
-    """Return a job with large results, and a branch of three stages."""
+def patient(name, rng):
+    """Return a job with large results and a branch of three stages.
+
+    It has a lower priority and a longer target than an urgent one.
+    """
     stages = [
-        pieces.StageWork("first", (), chance.choice((1, 2)), LARGE),
+        pieces.StageWork("first", (), rng.choice((1, 2)), LARGE),
         pieces.StageWork("first", (), 1, SMALL),
         pieces.StageWork("second", (1,), 8, 60_000),
         pieces.StageWork("third", (2,), 16, 6_000),
@@ -47,20 +50,20 @@
 
 
 def arrivals(kinds, *, seconds, seed):
-    """Return a load; `kinds` maps a builder of jobs to jobs a second."""
-    chance = random.Random(seed)
+    """Return a load; `kinds` maps builders of jobs to rates per second."""
+    rng = random.Random(seed)
     load = []
-    for make, rate in kinds.items():
-        at = chance.expovariate(rate)
+    for build, rate in kinds.items():
+        at = rng.expovariate(rate)
         while at < seconds:
-            name = f"{make.__name__}-{len(load)}"
-            load.append((at, make.__name__, make(name, chance)))
-            at += chance.expovariate(rate)
+            name = f"{build.__name__}-{len(load)}"
+            load.append((at, build.__name__, build(name, rng)))
+            at += rng.expovariate(rate)
     return sorted(load)
 
 
-def played(load, *, fetch_s=0.3):
-    """Play a load in a zone with an endpoint of each service."""
+def simulate(load, *, fetch_s=0.3):
+    """Return the records of a load, with one endpoint for each service."""
 
     async def run():
         zone = stagezone.Zone(
@@ -68,75 +71,76 @@
             endpoints={"first": 1, "second": 1, "third": 1},
             sizes={0: LARGE, 1: SMALL, 2: 60_000, 3: 6_000},
         )
-        return await stagezone.play(zone, load, fetch_s=fetch_s)
+        return await stagezone.simulate(zone, load, fetch_s=fetch_s)
 
     return virtualtime.run(run())
 
 
-def in_time(told, kind):
-    """Return the share of a kind of jobs that ended in time."""
-    ends = [each.in_time for each in told if each.kind == kind]
-    return sum(ends) / len(ends)
+def share_on_target(records, kind):
+    """Return the share of a kind of jobs that met their targets."""
+    met = [each.met_target for each in records if each.kind == kind]
+    return sum(met) / len(met)
 
 
-def test_large_results_do_not_lie_and_wait_for_a_longer_branch():
+def test_large_results_are_not_computed_long_before_a_longer_branch_ends():
     """Patient requests have large results beside a branch of three stages.
 
-    Made first, the large results fill the room of their endpoint while the
-    branch goes on, and calls for urgent requests find no room: their
-    callers are refused, although the endpoint could do their work.
+    If these are computed first, they fill their endpoint's memory until the
+    branch ends.  Calls for urgent requests then find no memory: the requests
+    are rejected, although the endpoint has time for them.
     """
     shares = []
     for seed in range(4):
         load = arrivals({urgent: 1.5, patient: 1.4}, seconds=60, seed=seed)
-        shares.append(in_time(played(load), "urgent"))
+        shares.append(share_on_target(simulate(load), "urgent"))
     print(shares)
     assert sum(shares) / len(shares) > 0.9
 
 
-def test_two_stages_of_a_request_at_one_service_are_both_made():
-    """A service works on two stages of a request, of which one ends first.
+def test_two_stages_of_a_request_at_one_service_both_end():
+    """A service processes two stages of a request, of which one ends first.
 
-    If the pieces of the other are dropped with it, the caller waits for
-    nothing until its stages are given up on, a second or three later.
+    If the pieces of the other are dropped with it, the caller waits in vain
+    until its stages are abandoned, one to three seconds later.
     """
     load = arrivals({patient: 0.5}, seconds=60, seed=1)
-    told = played(load)
-    assert len(told) > 20
-    assert all(each.in_time for each in told)
+    records = simulate(load)
+    assert len(records) > 20
+    assert all(each.met_target for each in records)
 
 
-def test_the_most_urgent_are_not_served_less_often_than_the_least():
-    """Requests of two kinds come faster than a zone's stages can work.
+def test_urgent_jobs_meet_their_targets_as_often_as_patient_ones():
+    """Requests of two kinds exceed the capacity of a zone's stages.
 
-    Those that operators rank first have the shorter target, so that many of
-    the others, taken on before, are due before them.  If these go first,
-    it is the urgent ones' callers who are refused.
+    The urgent ones have the shorter target, but many of the others were
+    admitted earlier and are due before them.  If those go first, it is
+    urgent requests that are rejected.
     """
     for rate in (2.4, 3.2):
         urgent_share = patient_share = 0.0
         for seed in range(4):
-            told = played(
+            records = simulate(
                 arrivals({urgent: rate, patient: 1.4}, seconds=60, seed=seed)
             )
-            urgent_share += in_time(told, "urgent") / 4
-            patient_share += in_time(told, "patient") / 4
+            urgent_share += share_on_target(records, "urgent") / 4
+            patient_share += share_on_target(records, "patient") / 4
         assert urgent_share >= patient_share
 
 
-def test_nine_in_ten_that_are_taken_on_end_in_time():
-    """Requests come faster than a zone's stages can work.
+def test_nine_in_ten_admitted_jobs_meet_their_targets():
+    """Requests exceed the capacity of a zone's stages.
 
-    Room frees in pieces, calls go out part full and later requests overtake,
-    so that waits are longer than the work ahead tells.  Taken on by that
-    alone, one in seven ended late, and its caller had waited for little.
+    Memory becomes free in small amounts, calls go out part full and later
+    requests overtake, so waits exceed the estimated work ahead.  If jobs are
+    admitted by that estimate alone, one in seven ends late, after a wait of
+    little use to its caller.
     """
     for kind in ("urgent", "patient"):
-        done = on_time = 0
+        done = on_target = 0
         for seed in range(4):
             load = arrivals({urgent: 2.4, patient: 1.4}, seconds=60, seed=seed)
-            for each in played(load):
+            for each in simulate(load):
                 if each.kind == kind:
                     done += each.is_done
-                    on_time += each.in_time
-        assert on_time >= 0.9 * done
+                    on_target += each.met_target
+        assert on_target >= 0.9 * done
--- a/sycamoreshed/staging/usage.py
+++ b/sycamoreshed/staging/usage.py
@@ -1,28 +1,29 @@
-"""How much of a zone's stages each team has used lately."""
+"""How much of a zone's stages each team has used recently."""
 
 import math
 import typing
 
 __all__ = ["TeamUsage"]
 
-# Over which use counts: a few bursts of a team.
+# Time constant of the decay: a few bursts of a team.
 DECAY_S = 5.0
-# Where between an equal share (0) and all that is used (1) a team has to
-# yield.  Teams differ in size; one that is merely larger crowds out nobody.
+# A team's usage is heavy beyond this point between an equal share (0) and all
+# usage (1).  Teams differ in size; one that is merely larger crowds out
+# nobody.
 HEAVY_POINT = 0.25
-# Teams that are remembered; the oldest is forgotten first.
-MOST_TEAMS = 4096
-# Less than so much use of a team is as good as none.
-LEAST_USE = 0.01
+# Teams stored at most; the first one added is dropped first.
+MAX_TEAMS = 4096
+# A team with less usage than this counts as inactive.
+MIN_USAGE = 0.01
 
 
-class _Use(typing.NamedTuple):
+class _Usage(typing.NamedTuple):
     amount: float
-    at: float
+    updated_at: float
 
 
 class TeamUsage:
-    """Decaying sums of what was taken on for each team.
+    """Decaying sums of the work admitted for each team.
 
     Examples
     --------
@@ -35,30 +36,30 @@
     """
 
     def __init__(self):
-        self._uses = {}
+        self._usages = {}
 
     def add(self, team, now, amount=1.0):
-        """Count work that was taken on for a team."""
-        held = self._amount(team, now)
-        if team not in self._uses and len(self._uses) >= MOST_TEAMS:
-            del self._uses[next(iter(self._uses))]
-        self._uses[team] = _Use(held + amount, now)
+        """Count work that was admitted for a team."""
+        current = self._amount(team, now)
+        if team not in self._usages and len(self._usages) >= MAX_TEAMS:
+            del self._usages[next(iter(self._usages))]
+        self._usages[team] = _Usage(current + amount, now)
 
     def is_heavy(self, team, now):
         """Return whether a team has used far more than an equal share.
 
-        Shares are of the teams that have used anything lately.
+        An equal share among the teams that are active.
         """
         own = self._amount(team, now)
-        amounts = [self._amount(each, now) for each in self._uses]
-        active = [each for each in amounts if each > LEAST_USE]
+        amounts = [self._amount(each, now) for each in self._usages]
+        active = [each for each in amounts if each > MIN_USAGE]
         if len(active) < 2:
             return False
         equal = 1 / len(active)
         return own > sum(active) * (equal + HEAVY_POINT * (1 - equal))
 
     def _amount(self, team, now):
-        held = self._uses.get(team)
-        if held is None:
+        stored = self._usages.get(team)
+        if stored is None:
             return 0.0
-        return held.amount * math.exp((held.at - now) / DECAY_S)
+        return stored.amount * math.exp((stored.updated_at - now) / DECAY_S)
--- a/sycamoreshed/staging/waits.py
+++ b/sycamoreshed/staging/waits.py
@@ -1,31 +1,32 @@
-"""How much longer jobs wait than the work ahead of them tells."""
+"""Ratio of the time jobs wait to the estimated work ahead of them."""
 
 __all__ = ["WaitFactor"]
 
 FIRST_FACTOR = 1.0
-# So many of the jobs should wait no longer than expected.  With nine in ten, a
-# load beyond what a zone can do had more refused and no more in time.
+# Share of jobs that should wait no longer than estimated.  At 0.9, a zone
+# under more load than it can carry rejects more jobs, and no more jobs meet
+# their targets.
 QUANTILE = 0.6
-# How far a job moves the factor: some ten jobs, a second or two of a zone
-# under load, tell.
+# Change of the factor by one job.  About ten jobs, a second or two of a zone
+# under load, have an effect.
 STEP = 0.1
-# The bounds keep a zone that was slow for a while from refusing everybody
-# afterwards, and a quiet one from taking on what it cannot do.
-LEAST_FACTOR = 0.7
-MOST_FACTOR = 4.0
-# Shorter waits tell nothing of the work ahead.
-LEAST_EXPECTED_S = 0.1
+# Bounds: a zone that was slow for a while must not reject everybody
+# afterwards, nor an idle one admit more than it can do.
+MIN_FACTOR = 0.7
+MAX_FACTOR = 4.0
+# Jobs with less work ahead are ignored: their waits do not depend on it.
+MIN_EXPECTED_S = 0.1
 
 
 class WaitFactor:
-    """A factor on the work ahead that follows the waits that are seen.
+    """A factor on the work ahead of a job that follows measured waits.
 
     Notes
     -----
-    Calls go out part full, room frees in pieces that a request's results do
-    not fit into, and later jobs overtake.  Taken on as if none of that were,
-    one in seven of a zone's jobs ended late under load, in which time others
-    could have been in time; with it one in fourteen (played by a test).
+    Calls go out part full, memory becomes free in amounts too small for a
+    request's results, and later jobs overtake.  Without the factor, one in
+    seven of the jobs that a zone under load admitted ended late, using time
+    in which others could have met their targets; with it, one in fourteen.
 
     Attributes
     ----------
@@ -35,7 +36,7 @@
     --------
     >>> waits = WaitFactor()
     >>> for _ in range(40):
-    ...     waits.observe(expected_s=0.4, took_s=0.8)
+    ...     waits.observe(expected_s=0.4, waited_s=0.8)
     >>> 1.9 < waits.factor < 2.1
     True
     """
@@ -43,20 +44,20 @@
     def __init__(self):
         self.factor = FIRST_FACTOR
 
-    def observe(self, expected_s, took_s):
-        """Take in how long a job waited.
+    def observe(self, expected_s, waited_s):
+        """Adjust the factor by the wait of one job.
 
         Parameters
         ----------
         expected_s : float
             Seconds of work that were ahead of it.
-        took_s : float
+        waited_s : float
             Seconds that it waited.
         """
-        if expected_s < LEAST_EXPECTED_S:
+        if expected_s < MIN_EXPECTED_S:
             return
-        if took_s > self.factor * expected_s:
+        if waited_s > self.factor * expected_s:
             self.factor += STEP * QUANTILE
         else:
             self.factor -= STEP * (1 - QUANTILE)
-        self.factor = min(MOST_FACTOR, max(LEAST_FACTOR, self.factor))
+        self.factor = min(MAX_FACTOR, max(MIN_FACTOR, self.factor))
--- a/testkit/stagezone.py
+++ b/testkit/stagezone.py
@@ -1,7 +1,8 @@
-"""A zone's stages in simulated time: the product's queue, endpoints' work.
+"""Simulates a zone's stages in virtual time.
 
-What decides is the product's own; endpoints work on one call at a time, hold
-results in limited room, and refuse pieces that find none.
+Coordinator, scheduler and batchers are those of the product.  The simulated
+endpoints process one call at a time, store results in limited memory, and
+reject pieces whose results do not fit.
 """
 
 import asyncio
@@ -16,29 +17,29 @@
 from sycamoreshed.staging import pieces
 from testkit import journals
 
-__all__ = ["Told", "Zone", "play"]
+__all__ = ["JobRecord", "Zone", "simulate"]
 
 
-class Told(typing.NamedTuple):
-    """How a job of a played load ended.
+class JobRecord(typing.NamedTuple):
+    """Outcome of a job of a simulated load.
 
     Parameters
     ----------
     kind : str
         As the load names it.
-    at, ended : float
+    arrived_at, ended_at : float
         Simulated seconds.
     is_done : bool
         Whether there were results.
-    in_time : bool
-        Whether they were there by the job's aim.
+    met_target : bool
+        Whether they were available by the job's target time.
     """
 
     kind: str
-    at: float
-    ended: float
+    arrived_at: float
+    ended_at: float
     is_done: bool
-    in_time: bool
+    met_target: bool
 
 
 class _Response:
@@ -58,7 +59,7 @@
 
 
 class _Codec:
-    """Calls of endpoints as plain values."""
+    """Encodes calls of endpoints as plain values."""
 
     @staticmethod
     def piece_call(items, *, endpoint, now):
@@ -77,58 +78,58 @@
 
 
 class _Endpoint:
-    """Works on one call at a time and holds results until they are freed."""
+    """Processes one call at a time and stores results until they are freed."""
 
     def __init__(self, *, name, spec, sizes, clock):
         self._name = name
         self._spec = spec
         self._sizes = sizes
         self._clock = clock
-        self._turn = asyncio.Lock()
-        self._held = {}
+        self._lock = asyncio.Lock()
+        self._stored = {}
 
-    async def work(self, items):
-        """Work on a call; return its results."""
-        async with self._turn:
+    async def process(self, items):
+        """Process a call; return its results."""
+        async with self._lock:
             now = self._clock()
-            made = [self._take(each, now) for each in items]
-            count = sum(each.handle is not None for each in made)
-            took = self._spec.call_s + count * self._spec.piece_s
-            await asyncio.sleep(took)
-            return made
+            results = [self._store(each, now) for each in items]
+            count = sum(each.handle is not None for each in results)
+            duration_s = self._spec.call_s + count * self._spec.piece_s
+            await asyncio.sleep(duration_s)
+            return results
 
-    def _take(self, item, now):
+    def _store(self, item, now):
         if now > item.deadline:
-            return _Made(None, "late")
+            return _Result(None, "late")
         size = self._sizes[item.stage]
-        if sum(self._held.values()) + size > self._spec.room_bytes:
-            return _Made(None, "room")
+        if sum(self._stored.values()) + size > self._spec.room_bytes:
+            return _Result(None, "room")
         handle = f"{self._name}/{item.request}/{item.stage}/{item.index}"
-        self._held[handle] = size
-        return _Made(handle, None)
+        self._stored[handle] = size
+        return _Result(handle, None)
 
     def free(self, handles):
-        """Give up results."""
+        """Free results."""
         for handle in handles:
-            self._held.pop(handle, None)
+            self._stored.pop(handle, None)
 
 
-class _Made(typing.NamedTuple):
+class _Result(typing.NamedTuple):
     handle: str | None
     why: str | None
 
 
 class Zone:
-    """The endpoints of a zone, and the coordinator that feeds them.
+    """The endpoints of a zone, and the coordinator that uses them.
 
     Parameters
     ----------
     specs : dict of str to PieceSpec
-        Of each service.
+        By service.
     endpoints : dict of str to int
-        How many each service has.
+        Number of endpoints by service.
     sizes : dict of int to int
-        Bytes of a result, by the stage's index.
+        Bytes of a result, by the index of the stage.
     """
 
     def __init__(self, *, specs, endpoints, sizes):
@@ -137,11 +138,11 @@
         self._specs = specs
         self._tasks = set()
         self.endpoints = {}
-        self._known = {}
+        self._listed = {}
         for service, count in endpoints.items():
             for number in range(count):
                 name = f"{service}-{number}"
-                self._known[name] = types.Endpoint(
+                self._listed[name] = types.Endpoint(
                     name, service, name, "north-a", 1
                 )
                 self.endpoints[name] = _Endpoint(
@@ -153,17 +154,17 @@
         self.coordinator = coordinator.Coordinator(
             zone="north-a",
             services=self._service,
-            endpoints=self._of,
+            endpoints=self._endpoints_of,
             make_batcher=self._batcher,
             budget=budget.RepeatBudget(ratio=0.2, slack=50, window_s=10),
-            instances=lambda: 1,
+            instance_count=lambda: 1,
             journal=journals.Journal(),
             clock=loop.time,
         )
 
     async def send(self, _method, address, _path, _headers, body, *, within):
         """Answer a call with pieces."""
-        return _Response(await self.endpoints[address].work(body))
+        return _Response(await self.endpoints[address].process(body))
 
     async def tell(self, address, _path, _headers, body, *, within):
         """Answer a call that frees results."""
@@ -173,8 +174,8 @@
     def _service(self, name):
         return types.Service(name, "/", 100, None, self._specs[name])
 
-    def _of(self, name, _now):
-        return [e for e in self._known.values() if e.service == name]
+    def _endpoints_of(self, name, _now):
+        return [e for e in self._listed.values() if e.service == name]
 
     def _spawn(self, call, name):
         task = asyncio.get_running_loop().create_task(call, name=name)
@@ -182,13 +183,13 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def _batcher(self, service, endpoints, plans):
+    def _batcher(self, service, endpoints, scheduler):
         journal = journals.Journal()
         return batching.Batcher(
             service=service,
             endpoints=endpoints,
-            lookup=self._known.get,
-            plans=plans,
+            lookup=self._listed.get,
+            scheduler=scheduler,
             client=self,
             codec=_Codec(),
             health=health.Health(journal=journal),
@@ -198,31 +199,32 @@
         )
 
 
-async def play(zone, load, *, fetch_s):
-    """Have a zone run the jobs of a load; return a list of `Told`.
+async def simulate(zone, load, *, fetch_s):
+    """Run the jobs of a load in a zone; return a list of `JobRecord`.
 
     Parameters
     ----------
     zone : Zone
     load : iterable of (float, str, Job)
-        When each comes, and what it is called; in order of time.
+        Time of arrival, kind and job; in order of time.
     fetch_s : float
-        How long an engine takes until the results may be given up.
+        How long an engine takes until the results can be freed.
     """
     clock = asyncio.get_running_loop().time
 
-    async def one(at, kind, job):
-        await asyncio.sleep(at - clock())
-        done = await zone.coordinator.run(job)
-        ended = clock()
-        told = Told(
+    async def run_one(arrived_at, kind, job):
+        await asyncio.sleep(arrived_at - clock())
+        outcome = await zone.coordinator.run(job)
+        ended_at = clock()
+        record = JobRecord(
             kind,
-            at,
-            ended,
-            done.results is not None,
-            done.results is not None and ended <= at + job.target_s,
+            arrived_at,
+            ended_at,
+            outcome.results is not None,
+            outcome.results is not None
+            and ended_at <= arrived_at + job.target_s,
         )
-        if done.results:
+        if outcome.results:
             await asyncio.sleep(fetch_s)
             final = pieces.final_stages(job.stages)
             services = [
@@ -231,8 +233,8 @@
                 for _ in range(job.stages[index].count)
             ]
             zone.coordinator.free(
-                list(zip(services, done.results, strict=True))
+                list(zip(services, outcome.results, strict=True))
             )
-        return told
+        return record
 
-    return await asyncio.gather(*(one(*each) for each in load))
+    return await asyncio.gather(*(run_one(*each) for each in load))
