--- a/sycamoreshed/forwarding/attempts.py
+++ b/sycamoreshed/forwarding/attempts.py
@@ -11,7 +11,7 @@
 
 from sycamoreshed.errors import kinds
 from sycamoreshed.forwarding import client
-from sycamoreshed.forwarding import placing
+from sycamoreshed.forwarding import placement
 from sycamoreshed.kernel import kernel
 
 __all__ = ["Attempts", "Ended", "Opened"]
@@ -39,7 +39,7 @@
     Parameters
     ----------
     endpoint : Endpoint
-    answer : WholeAnswer
+    answer : FullAnswer
     failure : Failure or None
         What is wrong with it, if anything.
     is_final : bool
@@ -115,9 +115,9 @@
         last = None
         while True:
             now = parts.clock()
-            left = request.until - now
+            left = request.deadline - now
             if last_event_id is None:
-                left = request.first_until - now
+                left = request.answer_start_deadline - now
             if left <= 0:
                 return self._fail(kinds.Kind.LATE, "no time left")
             choice = self._choose(now)
@@ -139,7 +139,7 @@
                 continue
             result = await self._send(
                 choice,
-                request.until - now,
+                request.deadline - now,
                 last_event_id,
                 self._within(left, choice),
             )
@@ -164,7 +164,7 @@
         opened.response.close()
         self._parts.placer.end(opened.endpoint)
 
-    def failed(self, endpoint, failure, began, *, reached=True):
+    def failed(self, endpoint, failure, began, *, reachable=True):
         """Note a failed attempt."""
         now = self._parts.clock()
         if self._release is not None:
@@ -174,8 +174,8 @@
             self._may_have_run = True
         # Inputs that are gone are no fault of the endpoint that says so.
         if not self.inputs_gone:
-            self._parts.health.bad(
-                endpoint, now, failure.reason, reached=reached
+            self._parts.health.record_failure(
+                endpoint, now, failure.reason, reachable=reachable
             )
         self._parts.journal.write(
             "attempt_failed",
@@ -192,13 +192,13 @@
         request, parts = self._request, self._parts
         now = parts.clock()
         why = None
-        if self._may_have_run and not request.may_repeat:
+        if self._may_have_run and not request.can_rerun:
             why = "may have run"
         elif self._sent >= request.route.max_attempts:
             why = "no attempts left"
-        elif now >= request.until:
+        elif now >= request.deadline:
             why = "no time left"
-        elif self._sent and not parts.budget.spend(
+        elif self._sent and not parts.budget.try_spend(
             request.service, now, parts.peers.count()
         ):
             why = "budget spent"
@@ -220,7 +220,7 @@
         """
         route = self._request.route
         last = self._sent + 1 >= route.max_attempts
-        if last or not self._request.may_repeat or choice.of < 2:
+        if last or not self._request.can_rerun or choice.of < 2:
             return left
         patience = max(LEAST_PATIENCE_S, PATIENCE_FACTOR * route.target_s)
         return min(left, patience)
@@ -230,7 +230,7 @@
         service = parts.catalog.configuration.services.get(request.service)
         most = math.inf
         if service is not None:
-            most = placing.connection_share(
+            most = placement.connection_share(
                 service.max_connections, parts.peers.count()
             )
         choice = parts.placer.choose(
@@ -256,7 +256,7 @@
             )
         return choice
 
-    async def _send(self, choice, left, last_event_id, within):
+    async def _send(self, choice, left, last_event_id, timeout_s):
         parts, request = self._parts, self._request
         endpoint = choice.endpoint
         self._tried.add(endpoint.id)
@@ -280,7 +280,7 @@
         # If this is cancelled the request may have left.
         result = kinds.Failure(kinds.Kind.INTERNAL, "cancelled", sent=True)
         try:
-            result = await self._exchange(endpoint, headers, within)
+            result = await self._exchange(endpoint, headers, timeout_s)
             keep = isinstance(result, Opened)
             return result
         finally:
@@ -296,9 +296,9 @@
             if result.kind is kinds.Kind.INTERNAL:
                 self._may_have_run = True
                 return
-            self.failed(endpoint, result, began, reached=result.sent)
+            self.failed(endpoint, result, began, reachable=result.sent)
 
-    async def _exchange(self, endpoint, headers, within):
+    async def _exchange(self, endpoint, headers, timeout_s):
         parts, request = self._parts, self._request
         response = await parts.client.send(
             request.method,
@@ -306,7 +306,7 @@
             request.target,
             headers,
             request.body,
-            within=within,
+            timeout_s=timeout_s,
         )
         if isinstance(response, kinds.Failure):
             if response.sent:
@@ -324,7 +324,7 @@
         if request.route.streaming and verdict == "done":
             if response.status == 200:
                 return Opened(endpoint, response)
-        answer = await client.read_whole(response, within=within)
+        answer = await client.read_full(response, timeout_s=timeout_s)
         if isinstance(answer, kinds.Failure):
             if verdict in ("not-run", "elsewhere"):
                 return answer._replace(sent=False)
@@ -333,7 +333,7 @@
 
     def _judged(self, endpoint, answer, verdict):
         if verdict == "done":
-            self._parts.health.good(endpoint, self._parts.clock())
+            self._parts.health.record_success(endpoint, self._parts.clock())
             return Ended(endpoint, answer)
         sent = verdict not in ("not-run", "elsewhere")
         if answer.status == 409 and not sent:
--- a/sycamoreshed/forwarding/budget.py
+++ b/sycamoreshed/forwarding/budget.py
@@ -5,7 +5,7 @@
 
 from sycamoreshed.kernel import kernel
 
-__all__ = ["RepeatBudget", "Window"]
+__all__ = ["RetryBudget", "Window"]
 
 
 class Window:
@@ -47,7 +47,7 @@
         return self._total
 
 
-class RepeatBudget:
+class RetryBudget:
     """Share of this instance in a budget that all instances share.
 
     Instances do not ask each other: each takes the ratio of its own
@@ -75,12 +75,12 @@
         self._firsts = {}
         self._repeats = {}
 
-    def limit(self, ratio, slack):
+    def set_limits(self, ratio, slack):
         """Take over other limits; what was spent stays counted."""
         self._ratio = ratio
         self._slack = slack
 
-    def earn(self, service, now, count=1):
+    def record_requests(self, service, now, count=1):
         """Count requests to a service."""
         self._window(self._firsts, service).add(now, count)
 
@@ -99,7 +99,7 @@
         allowed = self._ratio * firsts + self._slack / max(1, instances)
         return self.KEPT_SHARE * allowed - repeats
 
-    def spend(self, service, now, instances, count=1):
+    def try_spend(self, service, now, instances, count=1):
         """Take repeats to a service; return whether there were enough."""
         if self.left(service, now, instances) < count:
             return False
@@ -116,7 +116,7 @@
 async def budget(core):
     """Provide this instance's share of the budget of repeats."""
     settings = core.settings
-    yield RepeatBudget(
+    yield RetryBudget(
         ratio=settings.retry_ratio,
         slack=settings.retry_slack,
         window_s=settings.retry_window_s,
--- a/sycamoreshed/forwarding/client.py
+++ b/sycamoreshed/forwarding/client.py
@@ -14,7 +14,7 @@
 from sycamoreshed.kernel import kernel
 from sycamoreshed.kernel import limits
 
-__all__ = ["EndpointClient", "WholeAnswer", "opened", "read_whole"]
+__all__ = ["EndpointClient", "FullAnswer", "open_client", "read_full"]
 
 # A connection that is not open by then is taken for a network partition.
 CONNECT_S = 0.5
@@ -84,7 +84,7 @@
         return await super().start(connection)
 
 
-class WholeAnswer(typing.NamedTuple):
+class FullAnswer(typing.NamedTuple):
     """An answer with its whole body."""
 
     status: int
@@ -117,7 +117,9 @@
         self._session = session
         self._kept = kept
 
-    async def tell(self, address, target, headers, body, *, within):
+    async def post_idempotent(
+        self, address, target, headers, body, *, timeout_s
+    ):
         """Send a call that may be repeated and whose answer tells nothing.
 
         A third of all connections to endpoints were opened to free
@@ -125,21 +127,21 @@
 
         Returns
         -------
-        WholeAnswer or Failure
+        FullAnswer or Failure
         """
         for session in (self._kept, self._session):
             response = await self._send(
-                session, "POST", address, target, headers, body, within
+                session, "POST", address, target, headers, body, timeout_s
             )
             # An endpoint may close a kept connection at any time; then the
             # call is sent once more on a new one.
             if not isinstance(response, kinds.Failure):
-                return await read_whole(response, within=within)
+                return await read_full(response, timeout_s=timeout_s)
             if response.kind is kinds.Kind.LATE or not response.sent:
                 break
         return response
 
-    async def send(self, method, address, target, headers, body, *, within):
+    async def send(self, method, address, target, headers, body, *, timeout_s):
         """Send a request and return the answer once its head is there.
 
         Parameters
@@ -157,15 +159,15 @@
             A response must be closed.
         """
         return await self._send(
-            self._session, method, address, target, headers, body, within
+            self._session, method, address, target, headers, body, timeout_s
         )
 
     async def _send(
-        self, session, method, address, target, headers, body, within
+        self, session, method, address, target, headers, body, timeout_s
     ):
         url = yarl.URL(f"http://{address}{target}", encoded=True)
         try:
-            async with limits.limit(max(within, 0.001)):
+            async with limits.limit(max(timeout_s, 0.001)):
                 return await session.request(
                     method,
                     url,
@@ -188,10 +190,10 @@
             return _failure(kinds.Kind.REFUSED, err, sent=True)
 
 
-async def read_whole(response, *, within):
-    """Return the `WholeAnswer` of a response, or a `Failure`."""
+async def read_full(response, *, timeout_s):
+    """Return the `FullAnswer` of a response, or a `Failure`."""
     try:
-        async with limits.limit(max(within, 0.001)):
+        async with limits.limit(max(timeout_s, 0.001)):
             body = await response.read()
     except TimeoutError:
         return kinds.Failure(kinds.Kind.LATE, "answer not whole", sent=True)
@@ -203,7 +205,7 @@
         return kinds.Failure(
             kinds.Kind.REFUSED, "answer without length was reset", sent=True
         )
-    return WholeAnswer(
+    return FullAnswer(
         response.status, response.reason or "", response.headers, body
     )
 
@@ -244,7 +246,7 @@
 
 
 @contextlib.asynccontextmanager
-async def opened():
+async def open_client():
     """Open an `EndpointClient`; close its connections at the end."""
     each = Connector(limit=0, force_close=True, socket_factory=open_socket)
     keeping = Connector(
@@ -274,5 +276,5 @@
 @kernel.plugin("endpoint_client", needs=("sockets",))
 async def endpoint_client(core):
     """Provide the client of endpoints."""
-    async with opened() as client:
+    async with open_client() as client:
         yield client
--- a/sycamoreshed/forwarding/forwarder.py
+++ b/sycamoreshed/forwarding/forwarder.py
@@ -5,7 +5,7 @@
 
 from sycamoreshed.errors import kinds
 from sycamoreshed.forwarding import attempts
-from sycamoreshed.forwarding import fetching
+from sycamoreshed.forwarding import input_release
 from sycamoreshed.forwarding import streams
 from sycamoreshed.kernel import kernel
 from sycamoreshed.staging import pieces
@@ -29,11 +29,11 @@
 
     Parameters
     ----------
-    answer : WholeAnswer or None
+    answer : FullAnswer or None
         An endpoint's, to be passed on as it is.
     failure : Failure or None
-        To be told instead; with ``begun`` the answer is cut off.
-    begun : bool
+        To be told instead; with ``has_started`` the answer is cut off.
+    has_started : bool
         Whether a part of the answer has been passed on.
     endpoint : Endpoint or None
     first_s : float or None
@@ -43,7 +43,7 @@
 
     answer: typing.Any = None
     failure: typing.Any = None
-    begun: bool = False
+    has_started: bool = False
     endpoint: typing.Any = None
     first_s: float | None = None
     events: int = 0
@@ -81,7 +81,9 @@
     def __init__(self, *, parts, stages):
         self._parts = parts
         self._stages = stages
-        self._fetch_times = fetching.FetchTimes(distance=parts.placer.distance)
+        self._fetch_times = input_release.FetchTimes(
+            distance=parts.placer.distance
+        )
 
     async def forward(self, request, sink):
         """Serve a request; return its `Outcome`.
@@ -93,7 +95,7 @@
             Takes the events of a stream as they come.
         """
         now = self._parts.clock()
-        self._parts.budget.earn(request.service, now)
+        self._parts.budget.record_requests(request.service, now)
         kept = []
         try:
             return await self._with_stages(request, sink, kept)
@@ -107,7 +109,7 @@
                 # Work on pieces is no run of the request itself: it may
                 # be done again, and leaves no effect.
                 return Outcome(failure=inputs._replace(sent=False))
-            release = fetching.Release(
+            release = input_release.Release(
                 free=lambda: self._give_up(kept), times=self._fetch_times
             )
             tries = attempts.Attempts(
@@ -122,7 +124,7 @@
                 outcome = await self._attempt(request, tries, sink)
             finally:
                 release.cancel()
-            if outcome.failure is None or outcome.begun:
+            if outcome.failure is None or outcome.has_started:
                 return outcome
             if not tries.inputs_gone or tries.may_have_run:
                 return outcome
@@ -149,9 +151,9 @@
             )
         now = self._parts.clock()
         target = request.route.target_s * STAGES_AIM_SHARE
-        aim_s = request.began - request.waited_s + target - now
-        until_s = request.stages_until - ENGINE_LEAST_S - now
-        limit_s = request.first_until - ENGINE_LEAST_S - now
+        aim_s = request.started_at - request.waited_s + target - now
+        until_s = request.stages_deadline - ENGINE_LEAST_S - now
+        limit_s = request.answer_start_deadline - ENGINE_LEAST_S - now
         if renew_s is not None:
             aim_s = RENEW_AIM_S
             # Given up earlier, one lost call, which takes two seconds to
@@ -193,7 +195,7 @@
         if isinstance(result, streams.StreamEnd):
             return Outcome(
                 failure=result.failure,
-                begun=result.events > 0 or result.failure is None,
+                has_started=result.events > 0 or result.failure is None,
                 endpoint=result.endpoint,
                 first_s=result.first_s,
                 events=result.events,
--- a/sycamoreshed/forwarding/health.py
+++ b/sycamoreshed/forwarding/health.py
@@ -42,12 +42,12 @@
         self._journal = journal
         self._states = {}
 
-    def is_out(self, endpoint, now):
+    def is_avoided(self, endpoint, now):
         """Return whether an endpoint is avoided for now."""
         state = self._states.get(endpoint.id)
         return state is not None and now < state.until
 
-    def good(self, endpoint, now):
+    def record_success(self, endpoint, now):
         """Count an answer that was right."""
         state = self._states.get(endpoint.id)
         if state is None:
@@ -62,12 +62,12 @@
             failures=0, share=share, seen=state.seen + 1, until=until
         )
 
-    def bad(self, endpoint, now, why, *, reached=True):
+    def record_failure(self, endpoint, now, why, *, reachable=True):
         """Count an answer that was wrong, or none.
 
         Parameters
         ----------
-        reached : bool
+        reachable : bool
             False if there was no connection: then nobody else's request
             will get through either.
         """
@@ -78,7 +78,7 @@
         )
         row = state.failures >= FAILURES_OUT
         grey = state.seen >= GREY_LEAST and share >= GREY_SHARE
-        if (row or grey or not reached) and now >= state.until:
+        if (row or grey or not reachable) and now >= state.until:
             for_s = min(LONGEST_AVOID_S, max(AVOID_S, state.for_s * 2))
             state = state._replace(until=now + for_s, for_s=for_s)
             self._journal.write(
--- a/sycamoreshed/forwarding/placing.py
+++ b/sycamoreshed/forwarding/placement.py
@@ -164,7 +164,9 @@
             for each in endpoints
             if each.id not in tried and self.in_flight(each) < most
         ]
-        good = [each for each in left if not self._health.is_out(each, now)]
+        good = [
+            each for each in left if not self._health.is_avoided(each, now)
+        ]
         pool = good or left
         if not pool:
             return None
--- a/sycamoreshed/forwarding/requests.py
+++ b/sycamoreshed/forwarding/requests.py
@@ -49,11 +49,11 @@
     headers : CIMultiDict
         As the caller sent them.
     body : bytes
-    began : float
+    started_at : float
         Monotonic time of its arrival.
     waited_s : float
         Seconds the caller had waited before it sent this attempt.
-    until : float
+    deadline : float
         Monotonic time at which the caller or the operator wants it no
         more.
     """
@@ -68,40 +68,40 @@
     target: str
     headers: typing.Any
     body: bytes
-    began: float
+    started_at: float
     waited_s: float
-    until: float
+    deadline: float
 
     @property
-    def may_repeat(self):
+    def can_rerun(self):
         """Whether it may run again after it may have run once."""
         return self.route.idempotent or self.route.resumable
 
     @property
-    def aim(self):
+    def target_at(self):
         """Monotonic time until which an answer is in time."""
-        return self.began - self.waited_s + self.route.target_s
+        return self.started_at - self.waited_s + self.route.target_s
 
     @property
-    def first_until(self):
+    def answer_start_deadline(self):
         """Monotonic time until which an answer has to begin."""
         if not self.route.streaming:
-            return self.until
+            return self.deadline
         waited = max(
             LEAST_WAIT_S,
             TARGETS_WAITED * self.route.target_s,
             PAUSES_WAITED * self.route.pause_s,
         )
-        return min(self.until, self.began + waited)
+        return min(self.deadline, self.started_at + waited)
 
     @property
-    def stages_until(self):
+    def stages_deadline(self):
         """Monotonic time until which stages are worked on."""
         # Who comes back is late already when it does; it is worked for
         # as long as anybody is, from now.
         patience = STAGE_TARGETS * self.route.target_s - self.waited_s
         patience = max(patience, self.route.target_s)
-        return min(self.first_until, self.began + patience)
+        return min(self.answer_start_deadline, self.started_at + patience)
 
     @property
     def affinity(self):
--- a/sycamoreshed/forwarding/streams.py
+++ b/sycamoreshed/forwarding/streams.py
@@ -6,7 +6,7 @@
 from sycamoreshed.errors import kinds
 from sycamoreshed.forwarding import attempts
 from sycamoreshed.forwarding import client
-from sycamoreshed.forwarding import events
+from sycamoreshed.forwarding import sse
 from sycamoreshed.kernel import limits
 
 __all__ = ["StreamEnd", "pass_on"]
@@ -78,7 +78,7 @@
         finally:
             tries.closed(opened)
         if failure is None:
-            parts.health.good(opened.endpoint, parts.clock())
+            parts.health.record_success(opened.endpoint, parts.clock())
             return _end(None, progress, opened)
         tries.failed(opened.endpoint, failure, began)
         if not request.route.resumable or not tries.may_retry(failure):
@@ -116,7 +116,7 @@
 async def _pump(opened, request, sink, parts, progress):
     """Pass on one engine's part of a stream; return a failure or None."""
     response = opened.response
-    buffer = events.EventBuffer()
+    buffer = sse.EventBuffer()
     while True:
         try:
             async with limits.limit(_patience(request, parts, progress)):
@@ -152,7 +152,7 @@
             return _broken(f"event {event.number} after {progress.last}")
     if not progress.begun:
         progress.begun = True
-        progress.first_s = parts.clock() - request.began
+        progress.first_s = parts.clock() - request.started_at
         await sink.begin(response)
     await sink.send(event.raw)
     progress.count += 1
@@ -163,7 +163,7 @@
 
 def _patience(request, parts, progress):
     """Return the seconds until an engine's silence ends the attempt."""
-    left = max(0.001, request.until - parts.clock())
+    left = max(0.001, request.deadline - parts.clock())
     if not request.route.resumable:
         return left
     if progress.begun:
--- a/sycamoreshed/forwarding/tests/builders.py
+++ b/sycamoreshed/forwarding/tests/builders.py
@@ -10,7 +10,7 @@
 from sycamoreshed.forwarding import attempts
 from sycamoreshed.forwarding import budget
 from sycamoreshed.forwarding import health
-from sycamoreshed.forwarding import placing
+from sycamoreshed.forwarding import placement
 from sycamoreshed.forwarding import requests
 from sycamoreshed.platform import calls
 from sycamoreshed.platform import names
@@ -104,12 +104,12 @@
         self.given_s = []
 
     async def send(
-        self, _method, address, _target, _headers, _body, *, within
+        self, _method, address, _target, _headers, _body, *, timeout_s
     ):
         """Take the next outcome."""
         outcome = next(self._script, OUTCOMES["done"])
         self.sent.append((address, outcome))
-        self.given_s.append(within)
+        self.given_s.append(timeout_s)
         if outcome.status is None:
             return kinds.Failure(
                 kinds.Kind.REFUSED, "no answer", sent=outcome.reached
@@ -152,9 +152,9 @@
     ]
     return attempts.Parts(
         catalog=_Catalog(found),
-        placer=placing.Placer(zone="north-a", regions={}, health=evidence),
+        placer=placement.Placer(zone="north-a", regions={}, health=evidence),
         health=evidence,
-        budget=budget.RepeatBudget(ratio=1.0, slack=99, window_s=10),
+        budget=budget.RetryBudget(ratio=1.0, slack=99, window_s=10),
         peers=_Peers(),
         client=client,
         codec=platform.Platform(store=None),
@@ -184,7 +184,7 @@
         target="/",
         headers=headers,
         body=b"{}",
-        began=0.0,
+        started_at=0.0,
         waited_s=0.0,
-        until=4.0,
+        deadline=4.0,
     )
--- a/sycamoreshed/forwarding/tests/test_budget.py
+++ b/sycamoreshed/forwarding/tests/test_budget.py
@@ -7,10 +7,10 @@
     """Return how many repeats so many instances allow in a window."""
     total = 0
     for _ in range(instances):
-        each = budget.RepeatBudget(ratio=0.2, slack=58, window_s=10)
+        each = budget.RetryBudget(ratio=0.2, slack=58, window_s=10)
         for number in range(requests):
-            each.earn("s", number * 10 / requests)
-        while each.spend("s", 9.99, instances):
+            each.record_requests("s", number * 10 / requests)
+        while each.try_spend("s", 9.99, instances):
             total += 1
     return total
 
@@ -31,23 +31,25 @@
 
 
 def test_repeats_are_counted_for_a_window():
-    each = budget.RepeatBudget(ratio=0.0, slack=8, window_s=10)
-    assert [each.spend("s", 0.0, 1) for _ in range(7)] == [True] * 6 + [False]
-    assert not each.spend("s", 9.0, 1)
-    assert each.spend("s", 11.0, 1)
+    each = budget.RetryBudget(ratio=0.0, slack=8, window_s=10)
+    assert [each.try_spend("s", 0.0, 1) for _ in range(7)] == [True] * 6 + [
+        False
+    ]
+    assert not each.try_spend("s", 9.0, 1)
+    assert each.try_spend("s", 11.0, 1)
 
 
 def test_services_do_not_share():
-    each = budget.RepeatBudget(ratio=0.0, slack=2, window_s=10)
-    assert each.spend("a", 0.0, 1)
-    assert each.spend("b", 0.0, 1)
+    each = budget.RetryBudget(ratio=0.0, slack=2, window_s=10)
+    assert each.try_spend("a", 0.0, 1)
+    assert each.try_spend("b", 0.0, 1)
 
 
 def test_other_limits_keep_what_was_spent():
     """The operator lowers the budget while it is half used."""
-    each = budget.RepeatBudget(ratio=0.0, slack=8, window_s=10)
-    assert all(each.spend("s", 0.0, 1) for _ in range(3))
-    each.limit(0.0, 4)
-    assert not each.spend("s", 0.0, 1)
-    each.limit(0.0, 8)
-    assert each.spend("s", 0.0, 1)
+    each = budget.RetryBudget(ratio=0.0, slack=8, window_s=10)
+    assert all(each.try_spend("s", 0.0, 1) for _ in range(3))
+    each.set_limits(0.0, 4)
+    assert not each.try_spend("s", 0.0, 1)
+    each.set_limits(0.0, 8)
+    assert each.try_spend("s", 0.0, 1)
--- a/sycamoreshed/forwarding/tests/test_client.py
+++ b/sycamoreshed/forwarding/tests/test_client.py
@@ -59,9 +59,11 @@
     piece, and it takes a limited number of them.
     """
     async with serving(most=99) as (endpoint, address):
-        async with client.opened() as found:
+        async with client.open_client() as found:
             for _ in range(10):
-                answer = await found.tell(address, "/", {}, b"x", within=5)
+                answer = await found.post_idempotent(
+                    address, "/", {}, b"x", timeout_s=5
+                )
                 assert answer.status == 200
     assert endpoint.calls == 10
     assert endpoint.connections == 1
@@ -74,9 +76,11 @@
     until they expire, and callers would be refused for want of room.
     """
     async with serving(most=1) as (endpoint, address):
-        async with client.opened() as found:
+        async with client.open_client() as found:
             for _ in range(5):
-                answer = await found.tell(address, "/", {}, b"x", within=5)
+                answer = await found.post_idempotent(
+                    address, "/", {}, b"x", timeout_s=5
+                )
                 assert not isinstance(answer, kinds.Failure)
     assert endpoint.calls == 5
 
@@ -84,11 +88,13 @@
 async def test_other_requests_have_connections_of_their_own():
     """A late second answer must not stand where another one is expected."""
     async with serving(most=99) as (endpoint, address):
-        async with client.opened() as found:
+        async with client.open_client() as found:
             for _ in range(3):
-                await found.tell(address, "/", {}, b"x", within=5)
+                await found.post_idempotent(
+                    address, "/", {}, b"x", timeout_s=5
+                )
                 response = await found.send(
-                    "POST", address, "/", {}, b"x", within=5
+                    "POST", address, "/", {}, b"x", timeout_s=5
                 )
-                await client.read_whole(response, within=5)
+                await client.read_full(response, timeout_s=5)
     assert endpoint.connections == 4
--- a/sycamoreshed/forwarding/tests/test_placing.py
+++ b/sycamoreshed/forwarding/tests/test_placement.py
@@ -4,7 +4,7 @@
 
 from sycamoreshed.catalog import types
 from sycamoreshed.forwarding import health as healths
-from sycamoreshed.forwarding import placing
+from sycamoreshed.forwarding import placement
 from testkit import journals
 
 
@@ -18,7 +18,7 @@
 def placer(health):
     """Return the choice of an instance of north-a."""
     regions = {"north-a": "north", "north-b": "north", "south-a": "south"}
-    return placing.Placer(zone="north-a", regions=regions, health=health)
+    return placement.Placer(zone="north-a", regions=regions, health=health)
 
 
 def endpoint(name, zone="north-a"):
@@ -32,7 +32,7 @@
     own = endpoint("own")
     pool = [far, near, own]
     assert placer.choose(pool, 0.0).endpoint is own
-    health.bad(own, 0.0, "refused", reached=False)
+    health.record_failure(own, 0.0, "refused", reachable=False)
     assert placer.choose(pool, 0.1).endpoint is near
 
 
@@ -73,12 +73,12 @@
         choice = placer.choose(pool, 0.0, affinity="hot")
         placer.begin(choice.endpoint)
     counts = [placer.in_flight(each) for each in pool]
-    assert max(counts) - min(counts) <= placing.AFFINITY_SLACK + 1
+    assert max(counts) - min(counts) <= placement.AFFINITY_SLACK + 1
 
 
 def test_avoided_endpoints_are_better_than_none(placer, health):
     only = endpoint("only")
-    health.bad(only, 0.0, "refused", reached=False)
+    health.record_failure(only, 0.0, "refused", reachable=False)
     assert placer.choose([only], 0.1).endpoint is only
     assert placer.choose([only], 0.1, tried={"only"}) is None
 
@@ -87,10 +87,10 @@
     """An endpoint fails everything; one failure is no reason yet."""
     failing = endpoint("failing")
     for number in range(healths.FAILURES_OUT):
-        assert not health.is_out(failing, number)
-        health.bad(failing, number, "500")
-    assert health.is_out(failing, number + 0.1)
-    assert not health.is_out(failing, number + 60.0)
+        assert not health.is_avoided(failing, number)
+        health.record_failure(failing, number, "500")
+    assert health.is_avoided(failing, number + 0.1)
+    assert not health.is_avoided(failing, number + 60.0)
 
 
 def test_an_endpoint_that_fails_half_its_answers_is_put_out(health):
@@ -100,10 +100,10 @@
     for number in range(40):
         now = number * 0.01
         if number % 2:
-            health.good(grey, now)
+            health.record_success(grey, now)
         else:
-            health.bad(grey, now, "500")
-        out = out or health.is_out(grey, now)
+            health.record_failure(grey, now, "500")
+        out = out or health.is_avoided(grey, now)
     assert out
 
 
@@ -113,10 +113,10 @@
     for number in range(140):
         now = number * 0.01
         if number % 7:
-            health.good(usual, now)
+            health.record_success(usual, now)
         else:
-            health.bad(usual, now, "500")
-        assert not health.is_out(usual, now)
+            health.record_failure(usual, now, "500")
+        assert not health.is_avoided(usual, now)
 
 
 def test_no_more_connections_than_the_share_of_an_endpoint(placer):
@@ -126,7 +126,7 @@
     then cannot be told whether it ran.
     """
     near, far = endpoint("near"), endpoint("far", "south-a")
-    most = placing.connection_share(10, 2)
+    most = placement.connection_share(10, 2)
     for _ in range(5):
         placer.begin(placer.choose([near, far], 0.0, most=most).endpoint)
     assert placer.in_flight(near) == 5
@@ -159,7 +159,7 @@
 
 def test_a_few_more_in_flight_do_not_leave_the_zone(placer):
     pool = [endpoint("own"), endpoint("far", "south-a")]
-    for _ in range(placing.SPILL_SLACK):
+    for _ in range(placement.SPILL_SLACK):
         placer.begin(placer.choose(pool, 0.0).endpoint)
     assert placer.in_flight(pool[1]) == 0
 
@@ -180,7 +180,9 @@
     for part in ("a", "b", "c", "d"):
         chosen = set()
         for zone in regions:
-            placer = placing.Placer(zone=zone, regions=regions, health=health)
+            placer = placement.Placer(
+                zone=zone, regions=regions, health=health
+            )
             # The results of its stages lie where its caller is.
             choice = placer.choose(
                 pool,
--- a/sycamoreshed/gateway/daemon.py
+++ b/sycamoreshed/gateway/daemon.py
@@ -26,7 +26,7 @@
 from sycamoreshed.forwarding import client  # noqa: E402,F401
 from sycamoreshed.forwarding import forwarder  # noqa: E402,F401
 from sycamoreshed.forwarding import health  # noqa: E402,F401
-from sycamoreshed.forwarding import placing  # noqa: E402,F401
+from sycamoreshed.forwarding import placement  # noqa: E402,F401
 from sycamoreshed.gateway import handler  # noqa: E402,F401
 from sycamoreshed.gateway import inner  # noqa: E402,F401
 from sycamoreshed.gateway import listeners  # noqa: E402
@@ -110,7 +110,7 @@
         if value != getattr(core.settings, name)
     }
     core.part("peers").seeds = tuple(settings.peers)
-    core.part("budget").limit(settings.retry_ratio, settings.retry_slack)
+    core.part("budget").set_limits(settings.retry_ratio, settings.retry_slack)
     events.write(
         "reload",
         taken=sorted(changed & RELOADED),
--- a/sycamoreshed/gateway/handler.py
+++ b/sycamoreshed/gateway/handler.py
@@ -183,9 +183,9 @@
             target=target,
             headers=http.headers,
             body=body,
-            began=began,
+            started_at=began,
             waited_s=waited,
-            until=until,
+            deadline=until,
         )
 
     async def _read(self, http, limits, until):
@@ -215,7 +215,7 @@
         sink = Sink(
             http=http, codec=self._codec, closing=self._stopping.is_set
         )
-        left = max(0.0, request.until - self._clock())
+        left = max(0.0, request.deadline - self._clock())
         try:
             async with limits.limit(left):
                 outcome = await self._forwarder.forward(request, sink)
@@ -225,7 +225,7 @@
                 failure=kinds.Failure(
                     kinds.Kind.LATE, "deadline passed", sent=True
                 ),
-                begun=sink.response is not None,
+                has_started=sink.response is not None,
             )
         return await self._finish(http, request, sink, outcome, began)
 
@@ -278,9 +278,9 @@
             endpoint=outcome.endpoint and outcome.endpoint.id,
             why=outcome.failure.reason,
             events=outcome.events,
-            took_s=round(now - request.began, 4),
+            took_s=round(now - request.started_at, 4),
         )
-        self._metrics.ended(request.route, "broken", now - request.began)
+        self._metrics.ended(request.route, "broken", now - request.started_at)
         if http.transport is not None:
             http.transport.abort()
         raise _Cut
--- a/sycamoreshed/staging/batching.py
+++ b/sycamoreshed/staging/batching.py
@@ -281,14 +281,14 @@
             path,
             headers,
             body,
-            within=work * CALL_FACTOR + CALL_EXTRA_S,
+            timeout_s=work * CALL_FACTOR + CALL_EXTRA_S,
         )
         answer = response
         if not isinstance(response, kinds.Failure):
-            answer = await client.read_whole(response, within=CALL_EXTRA_S)
+            answer = await client.read_full(response, timeout_s=CALL_EXTRA_S)
         if isinstance(answer, kinds.Failure):
-            self._health.bad(
-                endpoint, self._clock(), answer.reason, reached=False
+            self._health.record_failure(
+                endpoint, self._clock(), answer.reason, reachable=False
             )
             return _none(batch, "error", answer.sent), answer.reason
         return self._read(batch, answer)
@@ -299,19 +299,21 @@
             verdict = self._codec.judge(answer.status, answer.headers).value
             not_run = verdict in ("not-run", "elsewhere")
             why = f"status {answer.status}"
-            self._health.bad(batch.endpoint, now, why)
+            self._health.record_failure(batch.endpoint, now, why)
             return _none(batch, "full" if not_run else "error", not not_run), (
                 why
             )
         try:
             found = self._codec.read_pieces(answer.body)
         except msgspec.MsgspecError as err:
-            self._health.bad(batch.endpoint, now, str(err))
+            self._health.record_failure(batch.endpoint, now, str(err))
             return _none(batch, "error", sent=True), str(err)
         if len(found) != len(batch.waiting):
-            self._health.bad(batch.endpoint, now, "other number of results")
+            self._health.record_failure(
+                batch.endpoint, now, "other number of results"
+            )
             return _none(batch, "error", sent=True), "results missing"
-        self._health.good(batch.endpoint, now)
+        self._health.record_success(batch.endpoint, now)
         results = [_result(each, batch.endpoint) for each in found]
         bad = {each.why for each in results if each.held is None}
         return results, ",".join(sorted(map(str, bad))) or "done"
@@ -325,8 +327,8 @@
         if endpoint is None:
             return
         path, headers, body = self._codec.free_call(handles, endpoint=name)
-        answer = await self._client.tell(
-            endpoint.address, path, headers, body, within=FREE_TIMEOUT_S
+        answer = await self._client.post_idempotent(
+            endpoint.address, path, headers, body, timeout_s=FREE_TIMEOUT_S
         )
         if isinstance(answer, kinds.Failure):
             why = answer.reason
--- a/sycamoreshed/staging/coordinator.py
+++ b/sycamoreshed/staging/coordinator.py
@@ -42,7 +42,7 @@
         that may get calls.
     make_batcher : callable
         Takes `Service`, endpoints and `Plans`, returns a `Batcher`.
-    budget : RepeatBudget
+    budget : RetryBudget
     instances : callable
         Returns how many instances share the budget.
     journal : Journal
@@ -206,7 +206,7 @@
         """Have the pieces of a stage made; return results or a failure."""
         stage = run.plan.job.stages[index]
         held = [None] * stage.count
-        self._budget.earn(stage.service, self._clock())
+        self._budget.record_requests(stage.service, self._clock())
         for attempt in range(1, MOST_ATTEMPTS + 1):
             wanted = self._wanted(run, index, inputs, held)
             made = await self._batcher(stage.service).make(
@@ -245,7 +245,7 @@
         # Asked for again with the same inputs, it would be gone again.
         allowed = failure.reason != "gone"
         if allowed and failure.sent:
-            allowed = self._budget.spend(
+            allowed = self._budget.try_spend(
                 stage.service, self._clock(), self._instances()
             )
         self._journal.write(
--- a/sycamoreshed/staging/delegation.py
+++ b/sycamoreshed/staging/delegation.py
@@ -224,7 +224,7 @@
         zones = {}
         for name in names:
             for each in self._catalog.endpoints(name, now):
-                good = not self._health.is_out(each, now)
+                good = not self._health.is_avoided(each, now)
                 held = zones.setdefault(each.zone, {})
                 held[name] = held.get(name, False) or good
         left = [zone for zone in zones if zone not in avoid] or list(zones)
@@ -321,7 +321,7 @@
     """Return the endpoints that a zone's queue of a service feeds."""
     health = core.part("health")
     found = core.part("catalog").endpoints(name, now)
-    good = [each for each in found if not health.is_out(each, now)]
+    good = [each for each in found if not health.is_avoided(each, now)]
     # The evidence may be wrong; pieces that wait for endpoints to come
     # back are late for certain.
     usable = good or list(found)
--- a/sycamoreshed/staging/tests/test_batching.py
+++ b/sycamoreshed/staging/tests/test_batching.py
@@ -25,15 +25,17 @@
     def __init__(self):
         self.sent = []
 
-    async def send(self, _method, address, path, _headers, body, *, within):
+    async def send(self, _method, address, path, _headers, body, *, timeout_s):
         """Keep a call."""
         self.sent.append((address, path, body))
         return kinds.Failure(kinds.Kind.REFUSED, "no answer", sent=True)
 
-    async def tell(self, address, path, headers, body, *, within):
+    async def post_idempotent(
+        self, address, path, headers, body, *, timeout_s
+    ):
         """Keep a call."""
         return await self.send(
-            "POST", address, path, headers, body, within=within
+            "POST", address, path, headers, body, timeout_s=timeout_s
         )
 
 
--- a/sycamoreshed/staging/tests/test_coordinator.py
+++ b/sycamoreshed/staging/tests/test_coordinator.py
@@ -56,7 +56,7 @@
         services=lambda name: found[name].service if name in found else None,
         endpoints=lambda _name, _now: [builders.endpoint("e")],
         make_batcher=lambda service, _endpoints, _plans: found[service.name],
-        budget=budget.RepeatBudget(ratio=1.0, slack=9, window_s=10),
+        budget=budget.RetryBudget(ratio=1.0, slack=9, window_s=10),
         instances=lambda: 1,
         journal=journals.Journal(),
         clock=asyncio.get_running_loop().time,
--- a/testkit/stagezone.py
+++ b/testkit/stagezone.py
@@ -155,20 +155,24 @@
             services=self._service,
             endpoints=self._of,
             make_batcher=self._batcher,
-            budget=budget.RepeatBudget(ratio=0.2, slack=50, window_s=10),
+            budget=budget.RetryBudget(ratio=0.2, slack=50, window_s=10),
             instances=lambda: 1,
             journal=journals.Journal(),
             clock=loop.time,
         )
 
-    async def send(self, _method, address, _path, _headers, body, *, within):
+    async def send(
+        self, _method, address, _path, _headers, body, *, timeout_s
+    ):
         """Answer a call with pieces."""
         return _Response(await self.endpoints[address].work(body))
 
-    async def tell(self, address, _path, _headers, body, *, within):
+    async def post_idempotent(
+        self, address, _path, _headers, body, *, timeout_s
+    ):
         """Answer a call that frees results."""
         self.endpoints[address].free(body)
-        return client.WholeAnswer(200, "OK", {}, b"")
+        return client.FullAnswer(200, "OK", {}, b"")
 
     def _service(self, name):
         return types.Service(name, "/", 100, None, self._specs[name])
