--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -91,9 +91,9 @@
         "endpoint-1": builders.endpoint_spec("10.0.9.9:80", zone="north-0")
     }
     on_endpoint = builders.note(1, changed={"endpoints": changed})
-    part = msgspec.json.encode(state.part_of(config, 0))
+    part = msgspec.json.encode(state.document_part(config, 0))
     parts = [
-        state.part_of(config, number)
+        state.document_part(config, number)
         for number in range(state.count_parts(config))
     ]
     steps = {
@@ -111,7 +111,7 @@
             50,
         ),
         "encode one part": (
-            lambda: msgspec.json.encode(state.part_of(config, 0)),
+            lambda: msgspec.json.encode(state.document_part(config, 0)),
             50,
         ),
         "decode and check one part": (
--- a/sycamoreshed/config/state.py
+++ b/sycamoreshed/config/state.py
@@ -28,8 +28,8 @@
     "compile_config",
     "count_parts",
     "document",
+    "document_part",
     "join_parts",
-    "part_of",
 ]
 
 DEFAULT_SLOTS = 8
@@ -191,7 +191,7 @@
     return max(1, math.ceil(len(config.sections["teams"]) / PART_TEAMS))
 
 
-def part_of(config, number):
+def document_part(config, number):
     """Return one part of a configuration as a `schema.Document`.
 
     Notes
--- a/sycamoreshed/entry/callers.py
+++ b/sycamoreshed/entry/callers.py
@@ -102,7 +102,7 @@
         refusal = None
         if self._core.stopping.is_set():
             refusal = kinds.Failure(kinds.Kind.DRAINING, "stopping")
-        elif not self._notes.ready:
+        elif not self._notes.is_ready:
             refusal = kinds.Failure(
                 kinds.Kind.NOT_READY, "no configuration is known"
             )
@@ -121,7 +121,7 @@
     def _refusal(self):
         if not self.accepting:
             return kinds.Failure(kinds.Kind.DRAINING, "stopping")
-        if not self._notes.ready:
+        if not self._notes.is_ready:
             return kinds.Failure(
                 kinds.Kind.NOT_READY, "no configuration is known"
             )
--- a/sycamoreshed/entry/daemon.py
+++ b/sycamoreshed/entry/daemon.py
@@ -28,10 +28,10 @@
 from sycamoreshed.kernel import kernel  # noqa: E402
 from sycamoreshed.membership import gossip  # noqa: E402,F401
 from sycamoreshed.membership import membership  # noqa: E402,F401
-from sycamoreshed.notes import accepting  # noqa: E402,F401
+from sycamoreshed.notes import acceptance  # noqa: E402,F401
 from sycamoreshed.notes import history  # noqa: E402,F401
 from sycamoreshed.notes import snapshots  # noqa: E402,F401
-from sycamoreshed.notes import spreading  # noqa: E402,F401
+from sycamoreshed.notes import sync  # noqa: E402,F401
 from sycamoreshed.observe import logs  # noqa: E402
 from sycamoreshed.observe import metrics  # noqa: E402,F401
 from sycamoreshed.orders import orders  # noqa: E402,F401
--- a/sycamoreshed/entry/noteroutes.py
+++ b/sycamoreshed/entry/noteroutes.py
@@ -50,7 +50,7 @@
     async def since(self, http):
         """Give a peer the notes after its version, or all of it."""
         after = int(http.query.get("after", "0"))
-        return _json(self._notes.since(after))
+        return _json(self._notes.updates_since(after))
 
     async def part(self, http):
         """Give a peer one part of the configuration in force."""
@@ -59,7 +59,7 @@
         is_there = 0 <= number < state.count_parts(config)
         if int(http.query["version"]) != config.version or not is_there:
             raise web.HTTPConflict(text="another version is in force")
-        return _json(state.part_of(config, number))
+        return _json(state.document_part(config, number))
 
     async def version(self, _http):
         """Tell the version in force here."""
@@ -101,7 +101,7 @@
         """Give the configuration of a version."""
         current = self._notes.config
         version = int(http.query.get("at", current.version))
-        config = await self._history.at(version)
+        config = await self._history.config_at(version)
         if isinstance(config, kinds.Failure):
             return problems.response(config)
         return _json(state.document(config))
@@ -118,7 +118,7 @@
         body = {"version": self._notes.config.version}
         note_id = http.query.get("id")
         if note_id is not None:
-            verdict = await self._acceptor.find(note_id)
+            verdict = await self._acceptor.find_accepted(note_id)
             if verdict.failure is not None:
                 return _refuse(verdict)
             accepted = verdict.version is not None
@@ -187,7 +187,7 @@
             "id": verdict.winner["id"],
             "author": verdict.winner["author"],
         }
-        details["differs"] = [item._asdict() for item in verdict.differs]
+        details["differs"] = [item._asdict() for item in verdict.differences]
     return web.Response(
         status=details["status"],
         body=msgspec.json.encode(details),
--- a/sycamoreshed/entry/tests/test_callers.py
+++ b/sycamoreshed/entry/tests/test_callers.py
@@ -67,7 +67,7 @@
     """Return a client, the callers' part and the part that runs."""
     part = Part(result)
     core = Core(
-        notes=types.SimpleNamespace(config=builders.config(), ready=True),
+        notes=types.SimpleNamespace(config=builders.config(), is_ready=True),
         runner=part,
         once=part,
         metrics=metrics.Metrics(),
--- a/sycamoreshed/membership/tests/test_seeking.py
+++ b/sycamoreshed/membership/tests/test_seeking.py
@@ -8,7 +8,7 @@
 from sycamoreshed.errors import kinds
 from sycamoreshed.membership import gossip
 from sycamoreshed.membership import messages
-from sycamoreshed.notes import spreading
+from sycamoreshed.notes import sync
 from sycamoreshed.observe import metrics
 from testkit import virtualtime
 
@@ -87,7 +87,7 @@
         met(monkeypatch, listens_at=listens_at, seconds=9.0)
     )
     assert at is not None
-    assert at < spreading.SETTLE_S
+    assert at < sync.INITIAL_SYNC_TIMEOUT_S
 
 
 def test_an_instance_that_is_alone_asks_seldom(monkeypatch):
--- a/sycamoreshed/notes/accepting.py
+++ b/sycamoreshed/notes/acceptance.py
@@ -28,14 +28,14 @@
     failure : Failure or None
     winner : Note or None
         The note that was accepted instead.
-    differs : list of Difference
+    differences : list of Difference
         Between the note and the winner.
     """
 
     version: int | None = None
     failure: kinds.Failure | None = None
     winner: dict | None = None
-    differs: tuple = ()
+    differences: tuple = ()
 
 
 class Acceptor:
@@ -101,7 +101,7 @@
             )
         return Verdict(version=version)
 
-    async def find(self, note_id):
+    async def find_accepted(self, note_id):
         """Tell what became of the note with this id.
 
         Returns
@@ -116,7 +116,7 @@
 
     async def _earlier(self, note):
         """Return the verdict on a note whose id is taken, or None."""
-        verdict = await self.find(note["id"])
+        verdict = await self.find_accepted(note["id"])
         if verdict.version is None:
             return verdict if verdict.failure else None
         row = await self._table.read(rows.note_key(verdict.version))
@@ -196,7 +196,7 @@
     return Verdict(
         failure=kinds.Failure(kinds.Kind.NOTE_CONFLICT, reason),
         winner=winner,
-        differs=changes.differences(note, winner),
+        differences=changes.differences(note, winner),
     )
 
 
--- a/sycamoreshed/notes/history.py
+++ b/sycamoreshed/notes/history.py
@@ -52,7 +52,7 @@
             for row in found
         ]
 
-    async def at(self, version):
+    async def config_at(self, version):
         """Return the configuration of a version.
 
         Returns
--- a/sycamoreshed/notes/notes.py
+++ b/sycamoreshed/notes/notes.py
@@ -39,7 +39,7 @@
         return self._config
 
     @property
-    def ready(self):
+    def is_ready(self):
         """Whether an accepted configuration is known and may be served."""
         return self._settled and self._config.version > 0
 
@@ -93,7 +93,7 @@
         self._install(config, None)
         return True
 
-    def since(self, version):
+    def updates_since(self, version):
         """Return what brings a peer up to date.
 
         Returns
--- a/sycamoreshed/notes/snapshots.py
+++ b/sycamoreshed/notes/snapshots.py
@@ -152,7 +152,7 @@
         for number in range(state.count_parts(config)):
             stored = await self._objects.put(
                 rows.object_name(config.version, number),
-                state.part_of(config, number),
+                state.document_part(config, number),
             )
             if isinstance(stored, kinds.Failure):
                 return False
--- a/sycamoreshed/notes/spreading.py
+++ b/sycamoreshed/notes/sync.py
@@ -20,7 +20,7 @@
 from sycamoreshed.notes import notes as following
 from sycamoreshed.notes import rows
 
-__all__ = ["Spreading"]
+__all__ = ["ConfigSync"]
 
 POLLERS = 2
 OFTEN_S = 1.0
@@ -28,7 +28,7 @@
 PULL_S = 2.0
 # A starting instance waits this long for a peer's answer before it is
 # ready: the table may answer with what was, and a peer knows better.
-SETTLE_S = 2.0
+INITIAL_SYNC_TIMEOUT_S = 2.0
 
 
 class _Heard(typing.NamedTuple):
@@ -38,7 +38,7 @@
     peer: str
 
 
-class Spreading:
+class ConfigSync:
     """Keeps the configuration in force up to date.
 
     Parameters
@@ -81,7 +81,9 @@
         """Let the instance be ready once a peer was heard, or none is."""
         if self._gossip.has_seeds:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._told.wait(), SETTLE_S)
+                await asyncio.wait_for(
+                    self._told.wait(), INITIAL_SYNC_TIMEOUT_S
+                )
         self._notes.settle()
 
     def _is_poller(self):
@@ -182,7 +184,7 @@
     part = following.Notes(
         table=core.part("table"), snapshots=core.part("snapshots")
     )
-    spreading = Spreading(
+    config_sync = ConfigSync(
         settings=core.settings,
         notes=part,
         gossip=core.part("gossip"),
@@ -192,6 +194,6 @@
         spawn=core.spawn,
     )
     await part.load()
-    core.spawn(spreading.poll(), name="notes")
-    core.spawn(spreading.settle(), name="settle notes")
+    core.spawn(config_sync.poll(), name="notes")
+    core.spawn(config_sync.settle(), name="settle notes")
     yield part
--- a/sycamoreshed/notes/tests/test_accepting.py
+++ b/sycamoreshed/notes/tests/test_acceptance.py
@@ -2,7 +2,7 @@
 
 from sycamoreshed.config import state
 from sycamoreshed.errors import kinds
-from sycamoreshed.notes import accepting
+from sycamoreshed.notes import acceptance
 from sycamoreshed.notes import notes
 from sycamoreshed.notes import rows
 from sycamoreshed.notes import snapshots
@@ -16,7 +16,7 @@
         table=table, objects=objects or fakes.FakeObjects()
     )
     held = notes.Notes(table=table, snapshots=store)
-    return accepting.Acceptor(table=table, notes=held), held, store
+    return acceptance.Acceptor(table=table, notes=held), held, store
 
 
 def team_note(base, name="t1", rate=5, author="ana"):
@@ -57,7 +57,7 @@
     An operator who is told the wrong thing applies a note twice or
     believes in one that never came into force.
     """
-    monkeypatch.setattr(accepting, "PAUSE_S", 0)
+    monkeypatch.setattr(acceptance, "PAUSE_S", 0)
     table = fakes.FakeTable()
     acceptor, held, _ = instance(table)
     table.faults = list(faults)
@@ -67,7 +67,7 @@
         assert verdict.failure.kind == kinds.Kind.NOTE_UNKNOWN
         table.faults = []
         verdict = await acceptor.accept(note)
-    assert verdict == accepting.Verdict(version=1)
+    assert verdict == acceptance.Verdict(version=1)
     await held.follow()
     assert held.config.version == 1
     assert [key for key in table.rows if key.startswith(rows.PREFIX)] == [
@@ -94,7 +94,7 @@
     assert verdict.failure.kind == kinds.Kind.NOTE_CONFLICT
     assert winner["id"] in verdict.failure.reason
     assert "bia" in verdict.failure.reason
-    assert [tuple(item) for item in verdict.differs] == [
+    assert [tuple(item) for item in verdict.differences] == [
         ("teams/t1", "added", "added"),
         ("teams/t2", "added", "untouched"),
     ]
@@ -107,8 +107,8 @@
     await acceptor.accept(note)
     await acceptor.accept(team_note(1, "t2"))
     assert (await acceptor.accept(note)).version == 1
-    assert (await acceptor.find(note["id"])).version == 1
-    assert (await acceptor.find("none")) == accepting.Verdict()
+    assert (await acceptor.find_accepted(note["id"])).version == 1
+    assert (await acceptor.find_accepted("none")) == acceptance.Verdict()
     other = {**team_note(2, "t9"), "id": note["id"]}
     verdict = await acceptor.accept(other)
     assert verdict.failure.kind == kinds.Kind.NOTE_CONFLICT
--- a/sycamoreshed/notes/tests/test_notes.py
+++ b/sycamoreshed/notes/tests/test_notes.py
@@ -11,11 +11,11 @@
 from sycamoreshed.notes import rows
 from sycamoreshed.notes import snapshots
 from sycamoreshed.notes.tests import fakes
-from sycamoreshed.notes.tests import test_accepting
+from sycamoreshed.notes.tests import test_acceptance
 from testkit import builders
 
 CHAIN = [
-    rows.Accepted(note=test_accepting.team_note(n, f"t{n}"), at=0.0)
+    rows.Accepted(note=test_acceptance.team_note(n, f"t{n}"), at=0.0)
     for n in range(8)
 ]
 VERSIONS = [state.EMPTY]
@@ -33,7 +33,7 @@
     """Return a configuration after its way through encoded parts."""
     parts = []
     for number in range(state.count_parts(config)):
-        raw = msgspec.json.encode(state.part_of(config, number))
+        raw = msgspec.json.encode(state.document_part(config, number))
         parts.append(state.check_part(msgspec.json.decode(raw)))
     return state.join_parts(parts)
 
@@ -59,7 +59,7 @@
         else:
             other = fresh_notes()
             other.replace(VERSIONS[version])
-            body = other.since(before)
+            body = other.updates_since(before)
             if "notes" not in body:
                 held.replace(through_parts(other.config))
         assert held.config.version >= before
@@ -70,11 +70,11 @@
     held = fresh_notes()
     for version, item in enumerate(CHAIN, 1):
         held.advance(version, item)
-    assert held.since(5) == {"version": 8, "notes": CHAIN[5:]}
-    assert held.since(8) == {"version": 8, "notes": []}
+    assert held.updates_since(5) == {"version": 8, "notes": CHAIN[5:]}
+    assert held.updates_since(8) == {"version": 8, "notes": []}
     loaded = fresh_notes()
     loaded.replace(VERSIONS[8])
-    assert loaded.since(5) == {"version": 8}
+    assert loaded.updates_since(5) == {"version": 8}
 
 
 @pytest.mark.parametrize("teams, count", [(0, 1), (3992, 1), (3993, 2)])
@@ -87,22 +87,22 @@
 
 def test_ready_only_when_settled_and_with_a_configuration():
     held = fresh_notes()
-    assert not held.ready
+    assert not held.is_ready
     held.replace(VERSIONS[1])
-    assert not held.ready
+    assert not held.is_ready
     held.settle()
-    assert held.ready
+    assert held.is_ready
     empty = fresh_notes()
     empty.settle()
-    assert not empty.ready
+    assert not empty.is_ready
 
 
 async def accept_many(count, table, objects, monkeypatch):
     monkeypatch.setattr(snapshots, "EVERY", 5)
     monkeypatch.setattr(snapshots, "MOST_SNAPSHOTS", 3)
-    acceptor, held, store = test_accepting.instance(table, objects)
+    acceptor, held, store = test_acceptance.instance(table, objects)
     for base in range(count):
-        note = test_accepting.team_note(base, f"t{base}")
+        note = test_acceptance.team_note(base, f"t{base}")
         assert (await acceptor.accept(note)).version == base + 1
         await store.maybe_store(held.config)
     return acceptor, held, store
@@ -116,15 +116,15 @@
     ]
     deltas = [key for key in table.rows if key.startswith(rows.PREFIX)]
     assert min(deltas) == rows.note_key(21)
-    _, starter, _ = test_accepting.instance(table, objects)
+    _, starter, _ = test_acceptance.instance(table, objects)
     assert await starter.load() is None
     assert starter.config == held.config
     past = history.History(table=table, snapshots=store, notes=held)
     for version in (20, 23, 30, 31, 32):
-        config = await past.at(version)
+        config = await past.config_at(version)
         assert config.version == version
         assert len(config.sections["teams"]) == version
-    swept = await past.at(7)
+    swept = await past.config_at(7)
     assert swept.kind == kinds.Kind.NOTE_INVALID
     latest = await past.latest(2)
     assert [item["version"] for item in latest] == [31, 32]
@@ -136,7 +136,7 @@
     Reading on from the first note that is left would skip some.
     """
     table, objects = fakes.FakeTable(), fakes.FakeObjects()
-    _, behind, _ = test_accepting.instance(table, objects)
+    _, behind, _ = test_acceptance.instance(table, objects)
     _, held, _ = await accept_many(32, table, objects, monkeypatch)
     objects.away = True
     await behind.follow()
@@ -152,7 +152,7 @@
 ):
     monkeypatch.setattr(snapshots, "EVERY", 1)
     table, objects = fakes.FakeTable(), fakes.FakeObjects()
-    acceptor, held, store = test_accepting.instance(table, objects)
+    acceptor, held, store = test_acceptance.instance(table, objects)
     objects.away = objects_away
     await acceptor.accept(builders.first_note({}))
     assert await store.maybe_store(held.config) is not objects_away
@@ -170,11 +170,11 @@
     """
     monkeypatch.setattr(snapshots, "EVERY", 1)
     table, objects = fakes.FakeTable(), fakes.FakeObjects()
-    acceptor, held, store = test_accepting.instance(table, objects)
-    _, _, other = test_accepting.instance(table, objects)
-    await acceptor.accept(test_accepting.team_note(0))
+    acceptor, held, store = test_acceptance.instance(table, objects)
+    _, _, other = test_acceptance.instance(table, objects)
+    await acceptor.accept(test_acceptance.team_note(0))
     early = held.config
-    await acceptor.accept(test_accepting.team_note(1, "t2"))
+    await acceptor.accept(test_acceptance.team_note(1, "t2"))
     put = objects.put
 
     async def slow_put(name, value):
--- a/sycamoreshed/notes/tests/test_spreading.py
+++ b/sycamoreshed/notes/tests/test_sync.py
@@ -5,8 +5,8 @@
 from sycamoreshed.adapters import web
 from sycamoreshed.notes import notes as following
 from sycamoreshed.notes import rows
-from sycamoreshed.notes import spreading
-from sycamoreshed.notes.tests import test_accepting
+from sycamoreshed.notes import sync
+from sycamoreshed.notes.tests import test_acceptance
 from sycamoreshed.observe import metrics
 from testkit import virtualtime
 
@@ -35,7 +35,7 @@
 
 def accepted(version):
     """Return the note that makes a version, as a peer sends it."""
-    note = test_accepting.team_note(version - 1, f"t{version}")
+    note = test_acceptance.team_note(version - 1, f"t{version}")
     return rows.Accepted(note=note, at=0.0)
 
 
@@ -51,7 +51,7 @@
     loop = asyncio.get_running_loop()
     notes = following.Notes(table=None, snapshots=None)
     peers = Peers()
-    spreading.Spreading(
+    sync.ConfigSync(
         settings=None,
         notes=notes,
         gossip=peers,
