--- a/sycamoreshed/entry/callers.py
+++ b/sycamoreshed/entry/callers.py
@@ -135,7 +135,7 @@
         in_doubt = parsing.in_doubt(
             http.headers, http.match_info["pipeline"], self._notes.config
         )
-        return self._refuse(failure._replace(in_doubt=in_doubt))
+        return self._refuse(failure._replace(earlier_may_have_run=in_doubt))
 
     async def _read(self, http, now):
         try:
@@ -172,9 +172,9 @@
 
     async def _keyed(self, http, ask, start):
         request = ask.request
-        with self._once.under_way(request):
+        with self._once.track_in_progress(request):
             try:
-                end = await self._once.early_end(request)
+                end = await self._once.answer_before_admission(request)
             except Exception as err:
                 end = _unforeseen(err)
             if end is None:
@@ -193,7 +193,7 @@
         ticket = await self._admission.enter(request, self._core.clock())
         if isinstance(ticket, kinds.Failure):
             if request.key is not None:
-                ticket = self._once.refused(request, ticket)
+                ticket = self._once.reject_unread(request, ticket)
             return self._turn_away(ticket, request, start)
         try:
             if ask.stream:
--- a/sycamoreshed/entry/tests/test_callers.py
+++ b/sycamoreshed/entry/tests/test_callers.py
@@ -34,10 +34,10 @@
         self.finished = 0
         self.refused = None
 
-    def under_way(self, _request):
+    def track_in_progress(self, _request):
         return contextlib.nullcontext()
 
-    async def early_end(self, _request):
+    async def answer_before_admission(self, _request):
         return self.refused
 
     async def run(self, _request, *, emit=None):
--- a/sycamoreshed/errors/kinds.py
+++ b/sycamoreshed/errors/kinds.py
@@ -71,7 +71,7 @@
         promise: the work truly did not start.
     retry_after : float or None
         Seconds after which trying again makes sense.
-    in_doubt : bool
+    earlier_may_have_run : bool
         Whether an earlier request with the same idempotency key may have
         run.
     """
@@ -80,7 +80,7 @@
     reason: str
     sent: bool = False
     retry_after: float | None = None
-    in_doubt: bool = False
+    earlier_may_have_run: bool = False
 
 
 class Answer(typing.NamedTuple):
@@ -178,11 +178,13 @@
     <Outcome.SHED: 'shed'>
     >>> answer_for(Failure(Kind.SHED, "queue full", sent=True)).outcome
     <Outcome.FAILED: 'failed'>
-    >>> answer_for(Failure(Kind.SHED, "queue full", in_doubt=True)).outcome
+    >>> answer_for(
+    ...     Failure(Kind.SHED, "queue full", earlier_may_have_run=True)
+    ... ).outcome
     <Outcome.OUTCOME_UNKNOWN: 'outcome-unknown'>
     """
     answer = ANSWERS[failure.kind]
-    if failure.in_doubt and answer.outcome in _PROMISES:
+    if failure.earlier_may_have_run and answer.outcome in _PROMISES:
         answer = answer._replace(outcome=Outcome.OUTCOME_UNKNOWN)
     if failure.sent and answer.outcome in _RAN:
         answer = answer._replace(outcome=_RAN[answer.outcome])
--- a/sycamoreshed/idempotency/once.py
+++ b/sycamoreshed/idempotency/once.py
@@ -8,14 +8,14 @@
 from sycamoreshed.entry import answers
 from sycamoreshed.entry import problems
 from sycamoreshed.errors import kinds
-from sycamoreshed.idempotency import asking  # noqa: F401
 from sycamoreshed.idempotency import decide
 from sycamoreshed.idempotency import keys
+from sycamoreshed.idempotency import lookups  # noqa: F401
 from sycamoreshed.idempotency import records
-from sycamoreshed.idempotency import refusing
+from sycamoreshed.idempotency import rejections
+from sycamoreshed.idempotency import responses
 from sycamoreshed.idempotency import settling
 from sycamoreshed.idempotency import sweep  # noqa: F401
-from sycamoreshed.idempotency import telling
 from sycamoreshed.kernel import kernel
 from sycamoreshed.pipeline import runner as runners
 
@@ -79,19 +79,19 @@
         self._notes = notes
         self._instance = instance
         self._ttl_s = ttl_s
-        self._refuser = refusing.Refuser(
+        self._refuser = rejections.Refuser(
             sightings=records.sightings, asker=asker, trace=records.trace
         )
 
-    def under_way(self, request):
+    def track_in_progress(self, request):
         """Return a context in which others know of a request's key."""
         return self._records.sightings.under_way(keys.names_of(request).row)
 
-    def refused(self, request, failure):
+    def reject_unread(self, request, failure):
         """Return a refusal before the record was read, as it may be told."""
         return self._refuser.refuse_at_once(request, failure)
 
-    async def early_end(self, request):
+    async def answer_before_admission(self, request):
         """Answer a request that need not or cannot run, or return None.
 
         Returns
@@ -108,7 +108,7 @@
             return refusal
         refusal = _two_stages(request)
         if refusal is not None:
-            return self.refused(request, refusal)
+            return self.reject_unread(request, refusal)
         row_key = keys.names_of(request).row
         held = self._records.settler.held(row_key)
         refusal = self._records.refusal()
@@ -121,7 +121,7 @@
         end = self._records.end_of(row, keys.digest_of(request))
         if end is None:
             end = await self._refuser.refuse_by_record(request, refusal, row)
-        return telling.respond(end)
+        return responses.respond(end)
 
     async def run(self, request):
         """Run a request, or return the first answer to its key.
@@ -178,7 +178,7 @@
         row_key = keys.record_key(team, service, key)
         held = self._records.settler.held(row_key)
         if held is not None:
-            return telling.tell(held)
+            return responses.tell(held)
         row = await self._records.read(row_key)
         if isinstance(row, kinds.Failure):
             # Not "not run", which is what a store that is away means to
@@ -191,7 +191,7 @@
             return problems.response(
                 kinds.Failure(kinds.Kind.KEY_UNKNOWN, "nothing is recorded")
             )
-        return telling.tell(row.value)
+        return responses.tell(row.value)
 
     def _service_of(self, match):
         if "service" in match:
@@ -210,9 +210,9 @@
     async def _unclaimed(self, request, result):
         """Return what a request is told that has sent nothing."""
         if not isinstance(result, kinds.Failure) or result.sent:
-            return telling.respond(result)
+            return responses.respond(result)
         return await self._refuser.refuse_after_claim(
-            request, telling.unsent(result)
+            request, responses.unsent(result)
         )
 
     async def _end(self, request, critical, gate, result):
@@ -221,7 +221,7 @@
         if end is decide.End.RELEASE:
             await self._records.settler.release(gate.claimed)
             return await self._refuser.refuse_after_claim(
-                request, telling.unsent(failure)
+                request, responses.unsent(failure)
             )
         self._records.sightings.add(gate.claimed.key)
         if end is decide.End.LEAVE:
@@ -231,15 +231,15 @@
                 reason=f"{failure.reason}; ask later: GET {path}",
             )
         if failure is None:
-            raw, status = answers.encode(request, result), telling.OK
+            raw, status = answers.encode(request, result), responses.OK
         else:
-            raw, status = telling.ran_document(
+            raw, status = responses.ran_document(
                 request, critical, gate.answer.output, failure
             )
         replay = await self._records.settler.finish(
             gate.claimed, raw.decode(), status, request.deadline
         )
-        return telling.respond(replay)
+        return responses.respond(replay)
 
     async def _learn(self, row, service, known_as):
         """Return the row as it is known after endpoints were asked."""
--- a/sycamoreshed/idempotency/records.py
+++ b/sycamoreshed/idempotency/records.py
@@ -9,7 +9,7 @@
 from sycamoreshed.errors import kinds
 from sycamoreshed.idempotency import breaker
 from sycamoreshed.idempotency import decide
-from sycamoreshed.idempotency import doubt
+from sycamoreshed.idempotency import prior_runs
 from sycamoreshed.idempotency import settling
 from sycamoreshed.idempotency import store as stores
 from sycamoreshed.idempotency import trace as traces
@@ -63,7 +63,7 @@
 
     def __init__(self, *, store, clock, settler, log=None):
         self.store = store
-        self.sightings = doubt.Sightings()
+        self.sightings = prior_runs.Sightings()
         self.trace = traces.Trace(log=log or logs.DecisionLog(), clock=clock)
         self._clock = clock
         self.settler = settler
@@ -92,7 +92,7 @@
         """
         step = decide.after_read(row, None, body)
         if step in (decide.Step.REPLAY, decide.Step.CONFLICT):
-            return self._conclude(step, row, in_doubt=False)
+            return self._conclude(step, row, earlier_may_have_run=False)
         return None
 
     async def peek(self, key, record):
@@ -110,7 +110,7 @@
             return None
         if step is decide.Step.CLAIM_AGAIN:
             return None
-        return self._conclude(step, row, in_doubt=True)
+        return self._conclude(step, row, earlier_may_have_run=True)
 
     async def claim(self, key, record, deadline, *, ask):
         """Record an attempt before anything is sent.
@@ -129,12 +129,12 @@
         -------
         Claim, Replay or Failure
             A failure has ``sent`` false if this attempt did not run and
-            never will; ``in_doubt`` is true if the record did not tell
-            whether an earlier one has run.
+            never will; ``earlier_may_have_run`` is true if the record did
+            not tell whether an earlier one has run.
         """
         version = tables.ABSENT
         is_lost = False
-        in_doubt = True
+        earlier_may_have_run = True
         away_since = None
         for pause in settling.pauses():
             step, row, lost = await self._try(key, record, version)
@@ -146,8 +146,8 @@
             )
             if step is decide.Step.SEND:
                 return settling.Claim(key, record, row.version)
-            if doubt.from_record(row) is False:
-                in_doubt = False
+            if prior_runs.from_record(row) is False:
+                earlier_may_have_run = False
             now = self._clock()
             away_since = _since(away_since, now, is_away=self.store.away)
             is_away = away_since is not None and not decide.waits_out(
@@ -161,7 +161,9 @@
                 await asyncio.sleep(pause)
         if is_lost:
             self.settler.fence(key, record)
-        return self._conclude(step, row, in_doubt=in_doubt)
+        return self._conclude(
+            step, row, earlier_may_have_run=earlier_may_have_run
+        )
 
     async def complete(self, row, answer):
         """Store the answer of an attempt whose instance has not.
@@ -222,8 +224,8 @@
             if step is not decide.Step.WAIT:
                 return step, row
 
-    def _conclude(self, step, row, *, in_doubt):
-        if doubt.from_record(row):
+    def _conclude(self, step, row, *, earlier_may_have_run):
+        if prior_runs.from_record(row):
             self.sightings.add(row.key)
         if step is decide.Step.REPLAY:
             return settling.replay(row)
@@ -232,7 +234,7 @@
             return kinds.Failure(
                 kinds.Kind.KEY_CONFLICT,
                 f"the key was used with another body (pipeline {first!r})",
-                in_doubt=doubt.from_record(row),
+                earlier_may_have_run=prior_runs.from_record(row),
             )
         if step is decide.Step.WAIT:
             return kinds.Failure(
@@ -245,7 +247,7 @@
             kinds.Kind.STORE_AWAY,
             "the request could not be recorded in time",
             retry_after=self.store.retry_after,
-            in_doubt=in_doubt,
+            earlier_may_have_run=earlier_may_have_run,
         )
 
 
--- a/sycamoreshed/idempotency/refusing.py
+++ b/sycamoreshed/idempotency/rejections.py
@@ -1,7 +1,7 @@
 """Refusals of requests with a key, told as far as they are true."""
 
-from sycamoreshed.idempotency import doubt
 from sycamoreshed.idempotency import keys
+from sycamoreshed.idempotency import prior_runs
 
 __all__ = ["Refuser"]
 
@@ -37,8 +37,8 @@
         -----
         Given for load, so it costs no call of the store or an endpoint.
         """
-        in_doubt = self._known(request) is not False
-        return self._told(request, failure, in_doubt)
+        earlier_may_have_run = self._known(request) is not False
+        return self._told(request, failure, earlier_may_have_run)
 
     async def refuse_by_record(self, request, failure, row):
         """Return a refusal after its record was looked for.
@@ -49,7 +49,7 @@
         failure : Failure
         row : Row or Failure
         """
-        recorded = doubt.from_record(row)
+        recorded = prior_runs.from_record(row)
         verdict = recorded or self._known(request)
         if verdict is None:
             verdict = recorded
@@ -64,15 +64,18 @@
         ----------
         request : Request
         failure : Failure
-            With ``in_doubt`` true if the attempt did not read the record.
+            With ``earlier_may_have_run`` true if the attempt did not read
+            the record.
         """
         verdict = self._known(request)
         if verdict is None:
-            verdict = failure.in_doubt and await self._asked(request)
+            verdict = failure.earlier_may_have_run and await self._asked(
+                request
+            )
         return self._told(request, failure, verdict)
 
     def _known(self, request):
-        return doubt.from_caller(
+        return prior_runs.from_caller(
             request.repeat, is_seen=self._is_seen(request)
         )
 
@@ -84,10 +87,10 @@
         answers = await self._asker.ask_for_refusal(
             request.config, names.service, names.endpoint
         )
-        return doubt.from_lookups(answers)
+        return prior_runs.from_lookups(answers)
 
-    def _told(self, request, failure, in_doubt, row=None):
-        failure = failure._replace(in_doubt=in_doubt)
+    def _told(self, request, failure, earlier_may_have_run, row=None):
+        failure = failure._replace(earlier_may_have_run=earlier_may_have_run)
         self._trace.refusal(
             failure, request=request, row=row, is_seen=self._is_seen(request)
         )
--- a/sycamoreshed/idempotency/tests/test_refusing.py
+++ b/sycamoreshed/idempotency/tests/test_rejections.py
@@ -4,9 +4,9 @@
 
 from sycamoreshed.adapters import table as tables
 from sycamoreshed.errors import kinds
-from sycamoreshed.idempotency import doubt
 from sycamoreshed.idempotency import keys
-from sycamoreshed.idempotency import refusing
+from sycamoreshed.idempotency import prior_runs
+from sycamoreshed.idempotency import rejections
 from sycamoreshed.idempotency import trace
 from sycamoreshed.observe import logs
 from sycamoreshed.pipeline import requests
@@ -45,12 +45,12 @@
         key="k",
         repeat=repeat,
     )
-    sightings = doubt.Sightings()
+    sightings = prior_runs.Sightings()
     if is_seen:
         sightings.add(keys.names_of(request).row)
     asker = Asker(list(answers))
     log = trace.Trace(log=logs.DecisionLog(), clock=lambda: 0.0)
-    part = refusing.Refuser(sightings=sightings, asker=asker, trace=log)
+    part = rejections.Refuser(sightings=sightings, asker=asker, trace=log)
     return part, asker, request
 
 
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize(
-    ("in_doubt", "answers", "outcome", "asked"),
+    ("earlier_may_have_run", "answers", "outcome", "asked"),
     [
         (False, [RAN], NOT_RUN, 0),
         (True, [RAN], UNKNOWN, 1),
@@ -103,10 +103,12 @@
         (True, [], UNKNOWN, 1),
     ],
 )
-async def test_refusal_of_an_attempt(in_doubt, answers, outcome, asked):
+async def test_refusal_of_an_attempt(
+    earlier_may_have_run, answers, outcome, asked
+):
     """An attempt that could not read its record must not deny the key."""
     part, asker, request = make(answers=answers)
-    failure = AWAY._replace(in_doubt=in_doubt)
+    failure = AWAY._replace(earlier_may_have_run=earlier_may_have_run)
     told = await part.refuse_after_claim(request, failure)
     assert kinds.answer_for(told).outcome is outcome
     assert asker.asked == asked
@@ -114,7 +116,7 @@
 
 def test_forgotten_keys_are_the_oldest():
     """A key seen lately must not be forgotten for one seen long ago."""
-    sightings = doubt.Sightings(most=2)
+    sightings = prior_runs.Sightings(most=2)
     for key in ("a", "b", "a", "c"):
         sightings.add(key)
     assert [sightings.has(key) for key in "abc"] == [True, False, True]
--- a/sycamoreshed/idempotency/trace.py
+++ b/sycamoreshed/idempotency/trace.py
@@ -76,7 +76,7 @@
             "refuse key",
             request=request.id,
             kind=str(failure.kind),
-            in_doubt=failure.in_doubt,
+            in_doubt=failure.earlier_may_have_run,
             repeat=request.repeat,
             is_seen=is_seen,
             **_seen(row),
