--- a/sycamoreshed/orders/giving.py
+++ b/sycamoreshed/orders/dispatch.py
@@ -7,7 +7,7 @@
 from sycamoreshed.adapters import engines as control
 from sycamoreshed.errors import kinds
 
-__all__ = ["Giver"]
+__all__ = ["Dispatcher"]
 
 # The word that an engine is about to load reaches the instances first.
 SPREAD_S = 0.4
@@ -17,23 +17,23 @@
 LOAD_TIMEOUT_S = 1.0
 
 
-class Giver:
+class Dispatcher:
     """Empties an engine if it serves, then sends the order.
 
     Parameters
     ----------
     lease : Lease
     client : Engines
-    away : Away
+    unavailable : UnavailableEngines
     clock : callable
     log : DecisionLog
     registry : CollectorRegistry
     """
 
-    def __init__(self, *, lease, client, away, clock, log, registry):
+    def __init__(self, *, lease, client, unavailable, clock, log, registry):
         self._lease = lease
         self._client = client
-        self._away = away
+        self._unavailable = unavailable
         self._clock = clock
         self._log = log
         self._unsure_until = 0.0
@@ -45,11 +45,11 @@
         )
 
     @property
-    def unsure_until(self):
+    def outstanding_until(self):
         """Monotonic time by which every order has ended."""
         return self._unsure_until
 
-    async def give(self, engine, step, fence):
+    async def send(self, engine, step, fence):
         """Give an order; return whether the engine took it.
 
         Parameters
@@ -99,7 +99,7 @@
         of them; callers would see the change of version as failures.
         """
         begin = self._clock()
-        self._away.tell(engine.name, True, begin)
+        self._unavailable.report(engine.name, True, begin)
         await asyncio.sleep(SPREAD_S)
         while self._clock() < begin + DRAIN_S:
             load = await self._client.load(
@@ -110,7 +110,7 @@
             await asyncio.sleep(POLL_S)
 
     def _is_allowed(self, fence, config):
-        valid = self._lease.valid(self._clock())
+        valid = self._lease.is_valid(self._clock())
         return valid and (self._lease.fence, self._lease.config) == (
             fence,
             config,
@@ -118,7 +118,7 @@
 
     def _take_outcome(self, result, end):
         if isinstance(result, control.Outdated):
-            self._lease.raise_floor(result.fence)
+            self._lease.record_fence(result.fence)
             self._orders.labels("outdated").inc()
         elif isinstance(result, kinds.Failure):
             self._orders.labels(str(result.kind)).inc()
--- a/sycamoreshed/orders/duty.py
+++ b/sycamoreshed/orders/leadership.py
@@ -7,13 +7,13 @@
 
 from sycamoreshed.orders import pacing
 
-__all__ = ["Duty"]
+__all__ = ["Leadership"]
 
 # Three renewals may fail in a row before the lease is not used any more.
 RENEWALS = 4
 
 
-class Duty:
+class Leadership:
     """Keeps the zone's lease from the start of the process to its end.
 
     Parameters
@@ -50,7 +50,7 @@
         """Event that is set once no order may be begun any more."""
         return self._stopping
 
-    def may_order(self, now):
+    def can_order(self, now):
         """Return whether orders for the version in force may leave.
 
         Notes
@@ -61,7 +61,7 @@
         orders were given for.
         """
         version = self._notes.config.version
-        return self._lease.valid(now) and version == self._lease.config
+        return self._lease.is_valid(now) and version == self._lease.config
 
     async def run(self):
         """Take the lease and renew it, until told to stop.
@@ -83,7 +83,7 @@
 
     async def release(self):
         """Give the lease up, if it is held and all orders have ended."""
-        if self._lease.valid(self._clock()):
+        if self._lease.is_valid(self._clock()):
             await self._lease.release()
 
     def _wait_s(self, held):
@@ -94,5 +94,5 @@
         return pacing.standby_s(
             first=pacing.stands_by(self._zone, self._instance, names),
             quick=seconds / (RENEWALS - 1),
-            left=self._lease.wait_left(),
+            left=self._lease.remaining_wait_s(),
         )
--- a/sycamoreshed/orders/keeper.py
+++ b/sycamoreshed/orders/leaseclient.py
@@ -35,7 +35,7 @@
         self._holder = holder
         self._terms = terms
         self._clock = clock
-        self._standing = records.Standing()
+        self._standing = records.LeaseState()
         self.reads = 0
         self.writes = 0
 
@@ -61,16 +61,16 @@
         held = self._standing.held
         return held.config if held else 0
 
-    def valid(self, now):
+    def is_valid(self, now):
         """Return whether an order may be sent at monotonic time `now`."""
         return leases.is_valid(self._standing, now, self._terms)
 
-    def raise_floor(self, fence):
+    def record_fence(self, fence):
         """Note a fencing number that an engine has met already."""
         floor = max(self._standing.floor, fence)
         self._standing = self._standing._replace(floor=floor)
 
-    def wait_left(self):
+    def remaining_wait_s(self):
         """Return seconds until the row may be taken, None if not waiting.
 
         A read just after the wait is over takes the lease sooner than
@@ -102,7 +102,7 @@
                 row = await self._try(row, config)
                 if row is None:
                     break
-        return self.valid(self._clock())
+        return self.is_valid(self._clock())
 
     async def release(self):
         """Give the lease up, after all own orders have ended.
--- a/sycamoreshed/orders/leases.py
+++ b/sycamoreshed/orders/leases.py
@@ -10,8 +10,8 @@
 from sycamoreshed.orders import records
 
 __all__ = [
+    "can_acquire",
     "is_valid",
-    "may_take",
     "observe",
     "on_conflict",
     "on_written",
@@ -29,10 +29,10 @@
 
     Examples
     --------
-    >>> held = records.Held(fence=1, until=6.0, version=1, config=0)
-    >>> is_valid(records.Standing(held=held), 4.9, records.Terms())
+    >>> held = records.HeldLease(fence=1, until=6.0, version=1, config=0)
+    >>> is_valid(records.LeaseState(held=held), 4.9, records.Terms())
     True
-    >>> is_valid(records.Standing(held=held), 5.0, records.Terms())
+    >>> is_valid(records.LeaseState(held=held), 5.0, records.Terms())
     False
     """
     held = standing.held
@@ -44,7 +44,7 @@
 
     Parameters
     ----------
-    standing : Standing
+    standing : LeaseState
     row : Row
     now : float
         Monotonic seconds, from after the answer.
@@ -52,7 +52,7 @@
 
     Returns
     -------
-    Standing
+    LeaseState
 
     Notes
     -----
@@ -67,12 +67,14 @@
     floor = max(standing.floor, value.get("fence", 0))
     standing = standing._replace(floor=floor)
     if own is not None and not value["released"]:
-        held = records.Held(
+        held = records.HeldLease(
             own.fence, own.at + terms.seconds, row.version, own.config
         )
         return standing._replace(held=held, seen=None, sent=())
     if standing.seen is None or standing.seen.version != row.version:
-        standing = standing._replace(seen=records.Seen(row.version, now))
+        standing = standing._replace(
+            seen=records.SeenVersion(row.version, now)
+        )
     if not _is_own(standing, row) and not is_valid(standing, now, terms):
         standing = standing._replace(held=None)
     return standing
@@ -83,7 +85,7 @@
 
     Parameters
     ----------
-    standing : Standing
+    standing : LeaseState
     row : Row
         Never stale: the store compared it with the write.
     attempt : str
@@ -93,7 +95,7 @@
 
     Returns
     -------
-    Standing
+    LeaseState
         Without the lease, unless the row is an earlier write of ours.
     """
     kept = tuple(item for item in standing.sent if item.attempt != attempt)
@@ -103,12 +105,12 @@
     return standing._replace(held=None)
 
 
-def may_take(standing, row, now, terms):
+def can_acquire(standing, row, now, terms):
     """Return whether a write to the row may be sent.
 
     Parameters
     ----------
-    standing : Standing
+    standing : LeaseState
         Which has observed `row`.
     row : Row
     now : float
@@ -146,7 +148,7 @@
 
     Parameters
     ----------
-    standing : Standing
+    standing : LeaseState
     row : Row
         As last known; the write holds only on its version.
     now : float
@@ -161,9 +163,9 @@
 
     Returns
     -------
-    tuple of Standing and (Write or None)
+    tuple of LeaseState and (Write or None)
     """
-    if not may_take(standing, row, now, terms):
+    if not can_acquire(standing, row, now, terms):
         return standing, None
     value = row.value or {}
     if _is_own(standing, row):
@@ -176,7 +178,7 @@
     # and began again.  Orders would be refused for ever without this.
     if fence < standing.floor:
         fence = standing.floor + 1
-    sent = records.Sent(attempt, now, fence, config)
+    sent = records.UnansweredWrite(attempt, now, fence, config)
     write = tables.Write(
         row.key, _value(sent, holder, terms, released=False), row.version
     )
@@ -189,7 +191,7 @@
 
     Parameters
     ----------
-    standing : Standing
+    standing : LeaseState
     attempt : str
     version : int
         New version of the row.
@@ -197,14 +199,14 @@
 
     Returns
     -------
-    Standing
+    LeaseState
     """
     sent = _find(standing.sent, attempt)
-    held = records.Held(
+    held = records.HeldLease(
         sent.fence, sent.at + terms.seconds, version, sent.config
     )
     floor = max(standing.floor, sent.fence)
-    return records.Standing(held=held, seen=None, sent=(), floor=floor)
+    return records.LeaseState(held=held, seen=None, sent=(), floor=floor)
 
 
 def propose_release(standing, key, terms, *, holder, attempt):
@@ -212,7 +214,7 @@
 
     Returns
     -------
-    tuple of Standing and (Write or None)
+    tuple of LeaseState and (Write or None)
         The standing holds nothing any more, whatever becomes of the
         write: its answer may be lost.
 
@@ -222,10 +224,10 @@
     only once every order of ours has ended.
     """
     held = standing.held
-    after = records.Standing(floor=standing.floor)
+    after = records.LeaseState(floor=standing.floor)
     if held is None:
         return after, None
-    sent = records.Sent(attempt, 0.0, held.fence, held.config)
+    sent = records.UnansweredWrite(attempt, 0.0, held.fence, held.config)
     value = _value(sent, holder, terms, released=True)
     return after, tables.Write(key, value, held.version)
 
--- a/sycamoreshed/orders/orders.py
+++ b/sycamoreshed/orders/orders.py
@@ -1,13 +1,13 @@
 """The plug-in of orders to engines."""
 
 from sycamoreshed.kernel import kernel
-from sycamoreshed.orders import away
-from sycamoreshed.orders import duty
-from sycamoreshed.orders import giving
-from sycamoreshed.orders import keeper
+from sycamoreshed.orders import dispatch
+from sycamoreshed.orders import leadership
+from sycamoreshed.orders import leaseclient
 from sycamoreshed.orders import pacing
 from sycamoreshed.orders import reconciler
 from sycamoreshed.orders import records
+from sycamoreshed.orders import unavailable
 
 __all__ = ["orders"]
 
@@ -25,12 +25,12 @@
 @kernel.plugin("orders", needs=NEEDS)
 async def orders(core):
     """Provide the zone's reconciler, and hand its duty over on a stop."""
-    loading = away.Away(
+    loading = unavailable.UnavailableEngines(
         gossip=core.part("gossip"), instance=core.settings.instance
     )
     core.part("membership").withhold(loading.names)
     lease = _lease(core)
-    held = _duty(core, lease)
+    held = _leadership(core, lease)
     part = _reconciler(core, lease, held, loading)
     core.control.router.add_get("/control/orders", part.status)
     core.spawn(held.run(), name="lease on orders")
@@ -42,7 +42,7 @@
 
 def _lease(core):
     settings = core.settings
-    return keeper.Lease(
+    return leaseclient.Lease(
         table=core.part("table"),
         name=f"orders/{settings.zone}",
         holder=settings.instance,
@@ -53,7 +53,7 @@
     )
 
 
-def _duty(core, lease):
+def _leadership(core, lease):
     settings = core.settings
     gossip = core.part("gossip")
 
@@ -61,7 +61,7 @@
         alive = gossip.view.alive(now)
         return [item.name for item in alive if item.zone == settings.zone]
 
-    return duty.Duty(
+    return leadership.Leadership(
         lease=lease,
         zone=settings.zone,
         instance=settings.instance,
@@ -73,23 +73,23 @@
 
 
 def _reconciler(core, lease, held, loading):
-    giver = giving.Giver(
+    dispatcher = dispatch.Dispatcher(
         lease=lease,
         client=core.part("engines"),
-        away=loading,
+        unavailable=loading,
         clock=core.clock,
         log=core.part("decisions"),
         registry=core.part("metrics").registry,
     )
     return reconciler.Reconciler(
-        duty=held,
+        leadership=held,
         lease=lease,
-        giver=giver,
+        dispatcher=dispatcher,
         zone=core.settings.zone,
         notes=core.part("notes"),
         client=core.part("engines"),
-        pace=pacing.Pace(rate=core.settings.weight_rate),
-        away=loading,
+        pace=pacing.LoadPacer(rate=core.settings.weight_rate),
+        unavailable=loading,
         settings=core.settings,
         clock=core.clock,
     )
--- a/sycamoreshed/orders/pacing.py
+++ b/sycamoreshed/orders/pacing.py
@@ -4,7 +4,7 @@
 
 from sycamoreshed.membership import rendezvous
 
-__all__ = ["Pace", "backoff", "standby_s", "stands_by"]
+__all__ = ["LoadPacer", "backoff", "standby_s", "stands_by"]
 
 FIRST_S = 0.5
 LONGEST_S = 10.0
@@ -15,7 +15,7 @@
 JITTER = 0.25
 
 
-class Pace:
+class LoadPacer:
     """Spaces out loads so that a zone keeps to its rate.
 
     Parameters
@@ -25,7 +25,7 @@
 
     Examples
     --------
-    >>> pace = Pace(rate=10.0)
+    >>> pace = LoadPacer(rate=10.0)
     >>> pace.take(50.0, now=0.0), pace.take(1.0, now=4.9)
     (True, False)
     >>> pace.take(1.0, now=5.0)
--- a/sycamoreshed/orders/reconciler.py
+++ b/sycamoreshed/orders/reconciler.py
@@ -13,7 +13,7 @@
 from sycamoreshed.adapters import engines as control
 from sycamoreshed.orders import assignment
 from sycamoreshed.orders import rollout
-from sycamoreshed.orders import watches
+from sycamoreshed.orders import tracking
 
 __all__ = ["Reconciler"]
 
@@ -28,14 +28,14 @@
 
     Parameters
     ----------
-    duty : Duty
+    leadership : Leadership
     lease : Lease
-    giver : Giver
+    dispatcher : Dispatcher
     zone : str
     notes : Notes
     client : Engines
-    pace : Pace
-    away : Away
+    pace : LoadPacer
+    unavailable : UnavailableEngines
     settings : Settings
     clock : callable
     """
@@ -43,25 +43,25 @@
     def __init__(
         self,
         *,
-        duty,
+        leadership,
         lease,
-        giver,
+        dispatcher,
         zone,
         notes,
         client,
         pace,
-        away,
+        unavailable,
         settings,
         clock,
     ):
-        self._duty = duty
+        self._leadership = leadership
         self._lease = lease
-        self._giver = giver
+        self._dispatcher = dispatcher
         self._zone = zone
         self._notes = notes
         self._client = client
         self._pace = pace
-        self._away = away
+        self._unavailable = unavailable
         self._loads = settings.loads_at_once
         self._look_s = settings.order_look_s
         self._clock = clock
@@ -77,10 +77,10 @@
 
     async def run(self):
         """Reconcile again and again, until told to stop."""
-        stopping = self._duty.stopping
+        stopping = self._leadership.stopping
         while not stopping.is_set():
             now = self._clock()
-            if self._duty.may_order(now):
+            if self._leadership.can_order(now):
                 self._round(now)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(stopping.wait(), ROUND_S)
@@ -94,14 +94,14 @@
         answer was lost may still take effect, so the release is written
         only once the longest order is over.
         """
-        if self._duty.stopping.is_set():
+        if self._leadership.stopping.is_set():
             await self._ended.wait()
             return
-        self._duty.begin_stop()
+        self._leadership.begin_stop()
         await asyncio.gather(*self._busy.values(), return_exceptions=True)
-        left = self._giver.unsure_until - self._clock()
+        left = self._dispatcher.outstanding_until - self._clock()
         await asyncio.sleep(max(0.0, left))
-        await self._duty.release()
+        await self._leadership.release()
         self._ended.set()
 
     async def status(self, _http):
@@ -111,7 +111,7 @@
         return web.json_response(
             {
                 "zone": self._zone,
-                "holds": self._lease.valid(now),
+                "holds": self._lease.is_valid(now),
                 "fence": self._lease.fence,
                 "config": self._lease.config,
                 "store": {
@@ -154,7 +154,8 @@
         self._engines = assignment.engines(config, self._zone)
         self._placements = assignment.placements(config, self._zone)
         self._watches = {
-            name: kept.get(name) or watches.Watch(longest=self._look_s)
+            name: kept.get(name)
+            or tracking.EngineTracker(longest=self._look_s)
             for name in self._engines
         }
         for watch in self._watches.values():
@@ -245,13 +246,13 @@
             return
         now = self._clock()
         if isinstance(state, control.State):
-            self._lease.raise_floor(state.fence)
+            self._lease.record_fence(state.fence)
             # Repeats that it does not serve, or tells that it does again.
-            self._away.tell(engine.name, not state.serving, now)
+            self._unavailable.report(engine.name, not state.serving, now)
         if watch.take(state, self._target(engine.name), now):
             self._stale = True
 
     async def _order(self, engine, watch, step):
-        taken = await self._giver.give(engine, step, self._mark[0])
+        taken = await self._dispatcher.send(engine, step, self._mark[0])
         watch.ordered(self._clock(), ok=taken)
         self._stale = True
--- a/sycamoreshed/orders/records.py
+++ b/sycamoreshed/orders/records.py
@@ -2,7 +2,14 @@
 
 import typing
 
-__all__ = ["Held", "Seen", "Sent", "Standing", "Terms", "Value"]
+__all__ = [
+    "HeldLease",
+    "LeaseState",
+    "SeenVersion",
+    "Terms",
+    "UnansweredWrite",
+    "Value",
+]
 
 
 class Terms(typing.NamedTuple):
@@ -41,7 +48,7 @@
     longest: float
 
 
-class Held(typing.NamedTuple):
+class HeldLease(typing.NamedTuple):
     """A lease as its holder knows it.
 
     Parameters
@@ -62,14 +69,14 @@
     config: int
 
 
-class Seen(typing.NamedTuple):
+class SeenVersion(typing.NamedTuple):
     """When a candidate first saw a version of the row (monotonic)."""
 
     version: int
     at: float
 
 
-class Sent(typing.NamedTuple):
+class UnansweredWrite(typing.NamedTuple):
     """A write whose answer has not come: its id, time and contents."""
 
     attempt: str
@@ -78,20 +85,20 @@
     config: int
 
 
-class Standing(typing.NamedTuple):
+class LeaseState(typing.NamedTuple):
     """What a candidate knows of a lease.
 
     Parameters
     ----------
-    held : Held or None
-    seen : Seen or None
-    sent : tuple of Sent
+    held : HeldLease or None
+    seen : SeenVersion or None
+    sent : tuple of UnansweredWrite
         Writes without an answer; any may have taken effect.
     floor : int
         Highest fencing number known to have been used.
     """
 
-    held: Held | None = None
-    seen: Seen | None = None
+    held: HeldLease | None = None
+    seen: SeenVersion | None = None
     sent: tuple = ()
     floor: int = 0
--- a/sycamoreshed/orders/tests/exploration.py
+++ b/sycamoreshed/orders/tests/exploration.py
@@ -32,7 +32,7 @@
     """One candidate: times by its own clock, `last` by the real one."""
 
     clock: int = 0
-    standing: records.Standing = records.Standing()
+    standing: records.LeaseState = records.LeaseState()
     waiting: str | None = None
     attempts: int = 0
     restarts: int = 0
@@ -249,7 +249,7 @@
         sides.append(
             side._replace(
                 clock=0,
-                standing=records.Standing(held, seen, sent, floor),
+                standing=records.LeaseState(held, seen, sent, floor),
                 stopped=stopped,
                 last=max(side.last - world.time, -terms.longest),
             )
--- a/sycamoreshed/orders/tests/test_giving.py
+++ b/sycamoreshed/orders/tests/test_dispatch.py
@@ -7,7 +7,7 @@
 
 from sycamoreshed.errors import kinds
 from sycamoreshed.observe import logs
-from sycamoreshed.orders import giving
+from sycamoreshed.orders import dispatch
 from sycamoreshed.orders import rollout
 from testkit import virtualtime
 
@@ -27,7 +27,7 @@
     config = 7
     terms = types.SimpleNamespace(longest=10.0)
 
-    def valid(self, _now):
+    def is_valid(self, _now):
         """Return that it is held."""
         return True
 
@@ -50,23 +50,23 @@
         return True
 
 
-async def give(*, config_after):
+async def send(*, config_after):
     """Give an order; the lease's row names another version meanwhile."""
     loop = asyncio.get_running_loop()
     lease, engines = Lease(), Engines()
-    giver = giving.Giver(
+    dispatcher = dispatch.Dispatcher(
         lease=lease,
         client=engines,
-        away=types.SimpleNamespace(tell=lambda *_: None),
+        unavailable=types.SimpleNamespace(report=lambda *_: None),
         clock=loop.time,
         log=logs.DecisionLog(),
         registry=prometheus_client.CollectorRegistry(),
     )
     engine = types.SimpleNamespace(name="language-1", endpoint=None)
     loop.call_later(
-        giving.SPREAD_S / 2, setattr, lease, "config", config_after
+        dispatch.SPREAD_S / 2, setattr, lease, "config", config_after
     )
-    taken = await giver.give(engine, LOAD_OLD, lease.fence)
+    taken = await dispatcher.send(engine, LOAD_OLD, lease.fence)
     return taken, engines.taken
 
 
@@ -78,10 +78,10 @@
     replaced: callers would be answered by it for as long as loading it and
     then the right one takes.
     """
-    assert virtualtime.run(give(config_after=8)) == (False, [])
+    assert virtualtime.run(send(config_after=8)) == (False, [])
 
 
 def test_an_order_names_the_configuration_that_it_was_planned_for():
-    taken, (order,) = virtualtime.run(give(config_after=7))
+    taken, (order,) = virtualtime.run(send(config_after=7))
     assert taken
     assert (order["fence"], order["config"]) == (3, 7)
--- a/sycamoreshed/orders/tests/test_duty.py
+++ b/sycamoreshed/orders/tests/test_leadership.py
@@ -3,17 +3,19 @@
 import prometheus_client
 import pytest
 
-from sycamoreshed.orders import away
-from sycamoreshed.orders import duty
+from sycamoreshed.orders import leadership
+from sycamoreshed.orders import unavailable
 
 
-def _duty(*, valid, row_config, own_config):
-    lease = types.SimpleNamespace(valid=lambda now: valid, config=row_config)
+def _leadership(*, valid, row_config, own_config):
+    lease = types.SimpleNamespace(
+        is_valid=lambda now: valid, config=row_config
+    )
     notes = types.SimpleNamespace(
         config=types.SimpleNamespace(version=own_config),
         on_change=lambda func: None,
     )
-    return duty.Duty(
+    return leadership.Leadership(
         lease=lease,
         zone="z",
         instance="a",
@@ -38,8 +40,10 @@
 def test_orders_leave_only_for_the_version_the_row_names(
     valid, row_config, own_config, may
 ):
-    part = _duty(valid=valid, row_config=row_config, own_config=own_config)
-    assert part.may_order(0.0) is may
+    part = _leadership(
+        valid=valid, row_config=row_config, own_config=own_config
+    )
+    assert part.can_order(0.0) is may
 
 
 class Gossip:
@@ -56,7 +60,7 @@
     def put(self, topic, key, value):
         self.puts += 1
         held = self.records.get(key)
-        self.records[key] = away.merge(held, value)
+        self.records[key] = unavailable.merge(held, value)
         if self.records[key] is not held:
             for func in self._listeners:
                 func(key, value, 0.0)
@@ -66,18 +70,20 @@
     gossip = Gossip()
     times = iter(range(100))
     made = [
-        away.Away(gossip=gossip, instance=name, wall=lambda: next(times))
+        unavailable.UnavailableEngines(
+            gossip=gossip, instance=name, wall=lambda: next(times)
+        )
         for name in "ab"
     ]
     holder, other = made
     assert other.names(0.0) == frozenset()
-    holder.tell("e", True, 0.0)
-    holder.tell("e", True, 1.0)
+    holder.report("e", True, 0.0)
+    holder.report("e", True, 1.0)
     assert gossip.puts == 1
     assert other.names(1.0) == {"e"}
-    assert other.names(away.FORGET_S) == set()
+    assert other.names(unavailable.FORGET_S) == set()
     # The holder is gone; its successor finds the engine serving.
-    other.tell("e", False, 2.0)
-    other.tell("e", False, 3.0)
+    other.report("e", False, 2.0)
+    other.report("e", False, 3.0)
     assert gossip.puts == 2
     assert holder.names(3.0) == frozenset()
--- a/sycamoreshed/orders/tests/test_keeper.py
+++ b/sycamoreshed/orders/tests/test_leaseclient.py
@@ -4,7 +4,7 @@
 
 from sycamoreshed.adapters import table as tables
 from sycamoreshed.adapters.tests import serving
-from sycamoreshed.orders import keeper
+from sycamoreshed.orders import leaseclient
 from sycamoreshed.orders import records
 
 TERMS = records.Terms(seconds=6.0, margin=1.0, longest=2.0)
@@ -25,7 +25,7 @@
 
 def _lease(session, address, clock, holder):
     table = tables.Table(session=session, address=address, timeout=TIMEOUT_S)
-    return keeper.Lease(
+    return leaseclient.Lease(
         table=table, name="z", holder=holder, terms=TERMS, clock=clock
     )
 
@@ -58,7 +58,7 @@
             side = chance.choice(sides)
             await side.renew()
             for item in sides:
-                if not item.valid(clock.now):
+                if not item.is_valid(clock.now):
                     continue
                 # Orders of the others have ended, the longest included.
                 for other, end in ends.items():
@@ -96,7 +96,7 @@
         assert await first.renew()
         assert not await second.renew()
         assert await first.release()
-        assert not first.valid(clock.now)
+        assert not first.is_valid(clock.now)
         assert await second.renew()
     assert second.fence == 2
 
--- a/sycamoreshed/orders/tests/test_leases.py
+++ b/sycamoreshed/orders/tests/test_leases.py
@@ -29,7 +29,7 @@
 def _without_longest(standing, row, now, terms):
     value = {**(row.value or {}), "longest": 0}
     short = terms._replace(longest=0)
-    return REAL.may_take(standing, row._replace(value=value), now, short)
+    return REAL.can_acquire(standing, row._replace(value=value), now, short)
 
 
 def _at_first_sight(standing, row, now, terms):
@@ -43,7 +43,7 @@
 def _by_name(standing, row, now, terms):
     if row.value is not None and standing.held is None:
         return True
-    return REAL.may_take(standing, row, now, terms)
+    return REAL.can_acquire(standing, row, now, terms)
 
 
 def _same_fence(standing, row, now, terms, **named):
@@ -53,9 +53,9 @@
 
 MUTATIONS = {
     "counted from the answer": ("on_written", _counted_from_answer),
-    "longest order not waited for": ("may_take", _without_longest),
-    "taken at first sight": ("may_take", _at_first_sight),
-    "restarted holder goes by its name": ("may_take", _by_name),
+    "longest order not waited for": ("can_acquire", _without_longest),
+    "taken at first sight": ("can_acquire", _at_first_sight),
+    "restarted holder goes by its name": ("can_acquire", _by_name),
     "margin left out": ("is_valid", _without_margin),
     "fence not raised": ("propose", _same_fence),
 }
@@ -102,34 +102,34 @@
     return tables.Row("leases/z", {**base, **value}, version)
 
 
-HELD = records.Held(fence=4, until=6.0, version=3, config=7)
-SEEN = records.Standing(seen=records.Seen(3, 0.0), floor=4)
-SENT = records.Standing(sent=(records.Sent("mine", 0.0, 4, 7),))
+HELD = records.HeldLease(fence=4, until=6.0, version=3, config=7)
+SEEN = records.LeaseState(seen=records.SeenVersion(3, 0.0), floor=4)
+SENT = records.LeaseState(sent=(records.UnansweredWrite("mine", 0.0, 4, 7),))
 # What is known, the row that is read, when, and the fence proposed.
 READS = {
-    "first sight": (records.Standing(), _row(3), 100.0, None),
+    "first sight": (records.LeaseState(), _row(3), 100.0, None),
     "lease and order not over": (SEEN, _row(3), 8.0, None),
     "lease and order over": (SEEN, _row(3), 8.1, 5),
     "renewed meanwhile": (SEEN, _row(4), 8.1, None),
     "holder has longer terms": (SEEN, _row(3, seconds=9.0), 8.1, None),
-    "released": (records.Standing(), _row(3, released=True), 0.0, 5),
+    "released": (records.LeaseState(), _row(3, released=True), 0.0, 5),
     "own, answer was lost": (SENT, _row(5, attempt="mine"), 1.0, 4),
     "own, but of an earlier process": (
-        records.Standing(),
+        records.LeaseState(),
         _row(5, holder="x", attempt="mine"),
         1.0,
         None,
     ),
-    "own and long over": (records.Standing(held=HELD), _row(3), 900.0, 4),
+    "own and long over": (records.LeaseState(held=HELD), _row(3), 900.0, 4),
     "row lost": (SEEN, tables.Row("leases/z", None, 0), 8.1, None),
     "row lost and waited for": (
-        records.Standing(seen=records.Seen(0, 0.0), floor=4),
+        records.LeaseState(seen=records.SeenVersion(0, 0.0), floor=4),
         tables.Row("leases/z", None, 0),
         8.1,
         5,
     ),
     "an engine has met a higher fence": (
-        records.Standing(held=HELD, floor=9),
+        records.LeaseState(held=HELD, floor=9),
         _row(3),
         1.0,
         10,
@@ -152,13 +152,13 @@
 
 
 def test_conflict_with_a_stranger_ends_the_lease_at_once():
-    standing = records.Standing(held=HELD)
+    standing = records.LeaseState(held=HELD)
     assert leases.is_valid(standing, 0.0, TERMS)
     after = leases.on_conflict(standing, _row(9), "mine", 0.0, TERMS)
     assert not leases.is_valid(after, 0.0, TERMS)
 
 
 def test_stale_read_does_not_end_the_lease():
-    standing = records.Standing(held=HELD)
+    standing = records.LeaseState(held=HELD)
     after = leases.observe(standing, _row(2), 0.0, TERMS)
     assert leases.is_valid(after, 0.0, TERMS)
--- a/sycamoreshed/orders/tests/test_watches.py
+++ b/sycamoreshed/orders/tests/test_tracking.py
@@ -1,14 +1,14 @@
 from sycamoreshed.adapters import engines as control
 from sycamoreshed.errors import kinds
 from sycamoreshed.orders import pacing
-from sycamoreshed.orders import watches
+from sycamoreshed.orders import tracking
 
 TARGET = {"model": "m", "version": "1", "adapters": [], "role": "both"}
 SILENT = kinds.Failure(kinds.Kind.LATE, "no answer in time", sent=True)
 
 
 def test_settled_engine_is_read_back_ever_more_rarely():
-    watch = watches.Watch(longest=15.0)
+    watch = tracking.EngineTracker(longest=15.0)
     now = 0.0
     times = []
     for _ in range(8):
@@ -21,7 +21,7 @@
 
 
 def test_silent_engine_is_dead_after_a_while_and_told_once():
-    watch = watches.Watch(longest=15.0)
+    watch = tracking.EngineTracker(longest=15.0)
     watch.take(control.State(TARGET), TARGET, 0.0)
     told = []
     now = watch.look_at
@@ -35,7 +35,7 @@
 
 
 def test_orders_back_off_until_one_is_taken():
-    watch = watches.Watch(longest=15.0)
+    watch = tracking.EngineTracker(longest=15.0)
     waits = []
     for _ in range(7):
         watch.ordered(0.0, ok=False)
@@ -43,7 +43,7 @@
     assert 0.25 <= waits[0] <= 0.5
     assert 5.0 <= waits[-1] <= 10.0
     watch.ordered(0.0, ok=True)
-    assert watch.order_at == watches.SOON_S
+    assert watch.order_at == tracking.SOON_S
 
 
 def test_few_instances_stand_by_quickly():
@@ -60,7 +60,7 @@
 
 
 def test_loads_of_the_holder_before_count():
-    pace = pacing.Pace(rate=10.0)
+    pace = pacing.LoadPacer(rate=10.0)
     pace.add(50.0, now=0.0)
     assert not pace.take(1.0, now=4.0)
     assert pace.take(0.0, now=4.0)
--- a/sycamoreshed/orders/watches.py
+++ b/sycamoreshed/orders/tracking.py
@@ -4,14 +4,14 @@
 from sycamoreshed.orders import pacing
 from sycamoreshed.orders import rollout
 
-__all__ = ["DEAD_S", "Watch"]
+__all__ = ["DEAD_S", "EngineTracker"]
 
 # An engine silent for so long is replaced by another one.
 DEAD_S = 15.0
 SOON_S = 0.5
 
 
-class Watch:
+class EngineTracker:
     """One engine: its last state, and the times that follow from it.
 
     Parameters
--- a/sycamoreshed/orders/away.py
+++ b/sycamoreshed/orders/unavailable.py
@@ -9,7 +9,7 @@
 
 from sycamoreshed.membership import topics
 
-__all__ = ["Away"]
+__all__ = ["UnavailableEngines"]
 
 LOADING = "engine-loading"
 # A holder that died cannot take its word back; it repeats it this often,
@@ -24,7 +24,7 @@
     return topics.newest(held, came)
 
 
-class Away:
+class UnavailableEngines:
     """Engines that get no new calls because they do not serve.
 
     Parameters
@@ -49,7 +49,7 @@
             return frozenset()
         return {name for name, until in self._until.items() if now < until}
 
-    def tell(self, name, away, now):
+    def report(self, name, away, now):
         """Tell whether an engine is away, if that is news by now."""
         told = self._told.get(name)
         if away and told is not None and now - told < REPEAT_S:
