--- a/sycamoreshed/entry/tests/test_callers.py
+++ b/sycamoreshed/entry/tests/test_callers.py
@@ -34,10 +34,10 @@
         self.finished = 0
         self.refused = None
 
-    def under_way(self, _request):
+    def track_in_progress(self, _request):
         return contextlib.nullcontext()
 
-    async def early_end(self, _request):
+    async def answer_before_admission(self, _request):
         return self.refused
 
     async def run(self, _request, *, emit=None):
@@ -67,7 +67,7 @@
     """Return a client, the callers' part and the part that runs."""
     part = Part(result)
     core = Core(
-        notes=types.SimpleNamespace(config=builders.config(), ready=True),
+        notes=types.SimpleNamespace(config=builders.config(), is_ready=True),
         runner=part,
         once=part,
         metrics=metrics.Metrics(),
--- a/sycamoreshed/staging/batching.py
+++ b/sycamoreshed/staging/batching.py
@@ -288,16 +288,16 @@
             path,
             headers,
             body,
-            within=work_s * CALL_TIMEOUT_FACTOR + CALL_TIMEOUT_EXTRA_S,
+            timeout_s=work_s * CALL_TIMEOUT_FACTOR + CALL_TIMEOUT_EXTRA_S,
         )
         answer = response
         if not isinstance(response, kinds.Failure):
-            answer = await client.read_whole(
-                response, within=CALL_TIMEOUT_EXTRA_S
+            answer = await client.read_full(
+                response, timeout_s=CALL_TIMEOUT_EXTRA_S
             )
         if isinstance(answer, kinds.Failure):
-            self._health.bad(
-                endpoint, self._clock(), answer.reason, reached=False
+            self._health.record_failure(
+                endpoint, self._clock(), answer.reason, reachable=False
             )
             return _no_results(batch, "error", answer.sent), answer.reason
         return self._parse(batch, answer)
@@ -308,7 +308,7 @@
             verdict = self._codec.judge(answer.status, answer.headers).value
             not_run = verdict in ("not-run", "elsewhere")
             status = f"status {answer.status}"
-            self._health.bad(batch.endpoint, now, status)
+            self._health.record_failure(batch.endpoint, now, status)
             return (
                 _no_results(
                     batch, "full" if not_run else "error", not not_run
@@ -318,14 +318,14 @@
         try:
             received = self._codec.read_pieces(answer.body)
         except msgspec.MsgspecError as err:
-            self._health.bad(batch.endpoint, now, str(err))
+            self._health.record_failure(batch.endpoint, now, str(err))
             return _no_results(batch, "error", sent=True), str(err)
         if len(received) != len(batch.entries):
-            self._health.bad(
+            self._health.record_failure(
                 batch.endpoint, now, "unexpected number of results"
             )
             return _no_results(batch, "error", sent=True), "results missing"
-        self._health.good(batch.endpoint, now)
+        self._health.record_success(batch.endpoint, now)
         outcomes = [_outcome(each, batch.endpoint) for each in received]
         reasons = {each.reason for each in outcomes if each.ref is None}
         return outcomes, ",".join(sorted(map(str, reasons))) or "done"
@@ -339,8 +339,8 @@
         if endpoint is None:
             return
         path, headers, body = self._codec.free_call(handles, endpoint=name)
-        answer = await self._client.tell(
-            endpoint.address, path, headers, body, within=FREE_TIMEOUT_S
+        answer = await self._client.post_idempotent(
+            endpoint.address, path, headers, body, timeout_s=FREE_TIMEOUT_S
         )
         if isinstance(answer, kinds.Failure):
             status = answer.reason
--- a/sycamoreshed/staging/coordinator.py
+++ b/sycamoreshed/staging/coordinator.py
@@ -43,7 +43,7 @@
         that may get calls.
     make_batcher : callable
         Takes `Service`, endpoints and `Scheduler`, returns a `Batcher`.
-    budget : RepeatBudget
+    budget : RetryBudget
     instance_count : callable
         Returns how many instances share the budget.
     journal : Journal
@@ -213,7 +213,7 @@
         """Process the pieces of a stage; return its results or a failure."""
         stage = run.admitted.job.stages[index]
         refs = [None] * stage.count
-        self._budget.earn(stage.service, self._clock())
+        self._budget.record_requests(stage.service, self._clock())
         for attempt in range(1, MAX_ATTEMPTS + 1):
             missing = self._missing_pieces(run, index, inputs, refs)
             outcomes = await self._batcher(stage.service).run_pieces(
@@ -254,7 +254,7 @@
         # A retry has the same inputs, so those that are gone stay gone.
         allowed = failure.reason != "gone"
         if allowed and failure.sent:
-            allowed = self._budget.spend(
+            allowed = self._budget.try_spend(
                 stage.service, self._clock(), self._instance_count()
             )
         self._journal.write(
--- a/sycamoreshed/staging/delegation.py
+++ b/sycamoreshed/staging/delegation.py
@@ -235,7 +235,7 @@
         zones = {}
         for name in names:
             for each in self._catalog.endpoints(name, now):
-                usable = not self._health.is_out(each, now)
+                usable = not self._health.is_avoided(each, now)
                 services = zones.setdefault(each.zone, {})
                 services[name] = services.get(name, False) or usable
         candidates = [zone for zone in zones if zone not in avoid] or (
@@ -341,7 +341,7 @@
     """Return the endpoints that a zone's queue of a service may use."""
     health = core.part("health")
     listed = core.part("catalog").endpoints(name, now)
-    healthy = [each for each in listed if not health.is_out(each, now)]
+    healthy = [each for each in listed if not health.is_avoided(each, now)]
     # The health records may be wrong, while pieces that wait for endpoints
     # to recover are certainly late.
     usable = healthy or list(listed)
--- a/sycamoreshed/staging/tests/test_coordinator.py
+++ b/sycamoreshed/staging/tests/test_coordinator.py
@@ -60,7 +60,7 @@
         make_batcher=lambda service, _endpoints, _scheduler: batchers[
             service.name
         ],
-        budget=budget.RepeatBudget(ratio=1.0, slack=9, window_s=10),
+        budget=budget.RetryBudget(ratio=1.0, slack=9, window_s=10),
         instance_count=lambda: 1,
         journal=journals.Journal(),
         clock=asyncio.get_running_loop().time,
