--- a/sycamoreshed/staging/batching.py
+++ b/sycamoreshed/staging/batching.py
@@ -7,15 +7,16 @@
 from sycamoreshed.errors import kinds
 from sycamoreshed.forwarding import client
 from sycamoreshed.staging import pieces
-from sycamoreshed.staging import pool
+from sycamoreshed.staging import queueing
 
 __all__ = ["Batcher"]
 
 # Timeout of a call, as a multiple of its expected time.  Endpoints that become
 # slow take five times as long, and a call queued behind another instance's
 # twice as long; after a shorter timeout, the endpoint would still process the
-# call, for nobody.
+# call, although nobody waits for it.
 CALL_TIMEOUT_FACTOR = 8.0
+# Added to that; also the timeout for the body of the answer.
 CALL_TIMEOUT_EXTRA_S = 0.5
 FREE_TIMEOUT_S = 1.0
 # Results to be freed are collected for this long: a call for each would cost
@@ -37,7 +38,7 @@
     service : Service
     endpoints : callable
         Takes the time, returns the endpoints that may get calls.
-    lookup : callable
+    find_endpoint : callable
         Takes the id of an endpoint, returns it or None.
     scheduler : Scheduler
     client : EndpointClient
@@ -53,7 +54,7 @@
         *,
         service,
         endpoints,
-        lookup,
+        find_endpoint,
         scheduler,
         client,
         codec,
@@ -64,7 +65,7 @@
     ):
         self.service = service
         self._endpoints = endpoints
-        self._lookup = lookup
+        self._find_endpoint = find_endpoint
         self._scheduler = scheduler
         self._client = client
         self._codec = codec
@@ -72,9 +73,9 @@
         self._journal = journal
         self._clock = clock
         self._spawn = spawn
-        self._pool = pool.Pool(spec=service.pieces)
-        # By request and stage, while the stage is processed; two stages of
-        # a request may be at the same time.
+        self._queue = queueing.ServiceQueue(spec=service.pieces)
+        # Admitted jobs, by request and stage in progress; a request may have
+        # two such stages.
         self._admitted = {}
         self._wake = asyncio.Event()
         self._pending_frees = {}
@@ -82,15 +83,15 @@
 
     @property
     def stored_bytes(self):
-        """Bytes of results that the endpoints store."""
-        return self._pool.stored_bytes
+        """Bytes of results that the endpoints store or compute."""
+        return self._queue.stored_bytes
 
     @property
     def concurrency(self):
-        """Calls that the endpoints process at a time, at configured speed."""
+        """Slots of the endpoints, each divided by the endpoint's slowdown."""
         slots = self.service.pieces.slots
         return sum(
-            slots / self._pool.slowdown(each)
+            slots / self._queue.slowdown(each)
             for each in self._endpoints(self._clock())
         )
 
@@ -123,15 +124,15 @@
         for piece in requested:
             future = loop.create_future()
             futures.append(future)
-            entry = pool.QueuedPiece(
+            entry = queueing.QueuedPiece(
                 piece, admitted.rank, result_bytes, now, future
             )
-            self._pool.add(entry)
-        self._wake_worker()
+            self._queue.add(entry)
+        self._ensure_worker()
         try:
             return list(await asyncio.gather(*futures))
         finally:
-            self._pool.discard(*key)
+            self._queue.discard(*key)
             self._admitted.pop(key, None)
 
     def free(self, refs):
@@ -155,7 +156,7 @@
         """Check again for pieces that can start."""
         self._wake.set()
 
-    def _wake_worker(self):
+    def _ensure_worker(self):
         self._wake.set()
         if self._task is None or self._task.done():
             self._task = self._spawn(self._work(), name="batch pieces")
@@ -163,11 +164,11 @@
     async def _work(self):
         while True:
             self._wake.clear()
-            for entry in self._pool.pop_late(self._clock()):
+            for entry in self._queue.pop_late(self._clock()):
                 _resolve(entry, pieces.PieceOutcome(None, "late"))
             while self._send_next():
                 pass
-            timeout = POLL_S if self._pool.queued else None
+            timeout = POLL_S if self._queue.queued_count else None
             try:
                 async with asyncio.timeout(timeout):
                     await self._wake.wait()
@@ -199,7 +200,7 @@
             wait_s = each.due_at - now
         if wait_s is None:
             return False
-        end = now + wait_s + self._pool.call_s(min(count, spec.batch))
+        end = now + wait_s + self._queue.call_s(min(count, spec.batch))
         return all(end <= self._target_at(each.piece) for each in selected)
 
     def _target_at(self, piece):
@@ -211,7 +212,7 @@
 
     def _send_next(self):
         now = self._clock()
-        batch = self._pool.next_batch(
+        batch = self._queue.next_batch(
             self._endpoints(now),
             now,
             can_start=self._can_start,
@@ -219,7 +220,7 @@
         )
         if batch is None:
             return False
-        expected_end = self._pool.start_call(batch, now)
+        expected_end = self._queue.start_call(batch, now)
         for entry in batch.entries:
             piece = entry.piece
             admitted = self._admitted.get((piece.request, piece.stage))
@@ -239,7 +240,7 @@
             outcomes, status = await self._attempt(batch, started_at)
         finally:
             now = self._clock()
-            self._pool.end_call(batch, expected_end, outcomes, now)
+            self._queue.end_call(batch, expected_end, outcomes, now)
             self._deliver(batch, outcomes)
             self._journal.write(
                 "batch_ended",
@@ -258,8 +259,8 @@
             requests=sorted({e.piece.request for e in batch.entries}),
             pieces=len(batch.entries),
             waited_s=round(now - min(e.queued_at for e in batch.entries), 4),
-            queued=self._pool.queued,
-            room_mb=round(self._pool.free_bytes(batch.endpoint) / 1e6, 2),
+            queued=self._queue.queued_count,
+            room_mb=round(self._queue.free_bytes(batch.endpoint) / 1e6, 2),
         )
 
     def _deliver(self, batch, outcomes):
@@ -267,7 +268,7 @@
         for entry, outcome in zip(batch.entries, outcomes, strict=True):
             if outcome.reason == "room" and not entry.future.done():
                 # It was not processed, and memory will become free again.
-                self._pool.add(entry)
+                self._queue.add(entry)
             elif not _resolve(entry, outcome) and outcome.ref:
                 unclaimed.append(outcome.ref)
         self.free(unclaimed)
@@ -281,7 +282,7 @@
             endpoint=endpoint.id,
             now=started_at,
         )
-        work_s = self._pool.call_s(len(batch.entries))
+        work_s = self._queue.call_s(len(batch.entries))
         response = await self._client.send(
             "POST",
             endpoint.address,
@@ -330,15 +331,17 @@
         reasons = {each.reason for each in outcomes if each.ref is None}
         return outcomes, ",".join(sorted(map(str, reasons))) or "done"
 
-    async def _send_frees(self, name):
+    async def _send_frees(self, endpoint_id):
         await asyncio.sleep(FREE_DELAY_S)
-        handles = self._pending_frees.pop(name)
-        # Includes endpoints that are leaving, avoided or in another zone:
-        # they store the results until this call, or until they expire.
-        endpoint = self._lookup(name)
+        handles = self._pending_frees.pop(endpoint_id)
+        # This also finds endpoints that are leaving, avoided or in another
+        # zone: they store the results until this call, or until they expire.
+        endpoint = self._find_endpoint(endpoint_id)
         if endpoint is None:
             return
-        path, headers, body = self._codec.free_call(handles, endpoint=name)
+        path, headers, body = self._codec.free_call(
+            handles, endpoint=endpoint_id
+        )
         answer = await self._client.post_idempotent(
             endpoint.address, path, headers, body, timeout_s=FREE_TIMEOUT_S
         )
@@ -347,12 +350,12 @@
         else:
             status = f"status {answer.status}"
         self._journal.write(
-            "freed", endpoint=name, results=len(handles), why=status
+            "freed", endpoint=endpoint_id, results=len(handles), why=status
         )
-        # The memory is free only now; if it were counted earlier, the
-        # endpoint would reject the pieces sent to it.
+        # Recorded as free only after the call: earlier, the endpoint would
+        # reject the pieces sent to it.
         for handle in handles:
-            self._pool.free(handle)
+            self._queue.free(handle)
         self._wake.set()
 
 
--- a/sycamoreshed/staging/coordinator.py
+++ b/sycamoreshed/staging/coordinator.py
@@ -10,15 +10,17 @@
 
 __all__ = ["Coordinator"]
 
-# Attempts at the pieces of a stage; each after the first counts against the
-# retry budget.
+# Attempts at the pieces of a stage.  A retry counts against the retry budget
+# if an endpoint may have processed the failed call.
 MAX_ATTEMPTS = 3
 # Time that a job may take beyond its deadline.
 GRACE_S = 0.1
 # Added to the time after which a rejected job could meet its target if no more
-# jobs arrived: a caller that retries into the same burst is rejected for good.
+# jobs arrived: callers usually retry once, and a retry into the same burst
+# would be rejected for good.
 RETRY_EXTRA_S = 1.6
-# Time in which the endpoint of the next stage fetches its inputs.
+# Allowance for the transfer of a result to where it is needed, subtracted from
+# the deadline of its piece.
 FETCH_S = 0.02
 
 
@@ -36,7 +38,7 @@
     Parameters
     ----------
     zone : str
-    services : callable
+    find_service : callable
         Takes a name, returns the `Service` if it processes pieces.
     endpoints : callable
         Takes the name of a service and the time, returns the endpoints
@@ -54,7 +56,7 @@
         self,
         *,
         zone,
-        services,
+        find_service,
         endpoints,
         make_batcher,
         budget,
@@ -63,7 +65,7 @@
         clock,
     ):
         self._zone = zone
-        self._services = services
+        self._find_service = find_service
         self._endpoints = endpoints
         self._make_batcher = make_batcher
         self._budget = budget
@@ -72,7 +74,7 @@
         self._clock = clock
         self._batchers = {}
         self._scheduler = scheduling.Scheduler(
-            specs=self._spec,
+            find_spec=self._find_spec,
             concurrency=self._concurrency,
             stored_bytes=self._stored_bytes,
         )
@@ -81,19 +83,21 @@
         """Run a job; return its `JobOutcome`."""
         now = self._clock()
         names = {s.service for s in job.stages if s.count}
-        if not all(map(self._services, names)):
-            return self._failed("a service takes no pieces", False)
+        if not all(map(self._find_service, names)):
+            return self._failed_outcome("a service takes no pieces", False)
         admitted = self._scheduler.admit(job, now)
         self._log_admission(job, admitted)
         if admitted is None:
             # Rejected at once, the caller can retry or do without the
             # answer, instead of waiting for its deadline.
             wait_s = self._scheduler.expected_lateness(job, now)
-            rejected = self._failed("stages are busy for too long", True)
+            rejected = self._failed_outcome(
+                "stages are busy for too long", True
+            )
             return rejected._replace(retry_s=round(RETRY_EXTRA_S + wait_s, 3))
         try:
             # A call that started before the deadline may end a little
-            # later; the caller waits no longer than that either.
+            # later; the caller does not wait much longer than that.
             async with limits.limit(admitted.deadline - now + GRACE_S):
                 result = await self._run_stages(admitted)
             if not isinstance(result, kinds.Failure):
@@ -106,7 +110,7 @@
                 batcher.wake()
         if isinstance(result, kinds.Failure):
             late = result.kind is kinds.Kind.HOPELESS
-            return self._failed(result.reason, late)
+            return self._failed_outcome(result.reason, late)
         return pieces.JobOutcome(
             result, None, False, self._scheduler.backlog()
         )
@@ -123,10 +127,10 @@
         for service, ref in results:
             by_service.setdefault(service, []).append(ref)
         for name, refs in by_service.items():
-            if self._services(name) is not None:
+            if self._find_service(name) is not None:
                 self._batcher(name).free(refs)
 
-    def _failed(self, reason, is_late):
+    def _failed_outcome(self, reason, is_late):
         return pieces.JobOutcome(
             None, reason, is_late, self._scheduler.backlog()
         )
@@ -139,7 +143,7 @@
             pieces=[stage.count for stage in job.stages],
             aim_s=round(job.target_s, 3),
             until_s=round(job.soft_limit_s, 3),
-            is_late=admitted is None or admitted.is_late,
+            is_late=admitted is None or admitted.will_miss_target,
             backlog_s={
                 name: round(each, 3)
                 for name, each in self._scheduler.backlog().items()
@@ -151,7 +155,7 @@
         stages = admitted.job.stages
         run = _Run(
             admitted,
-            {s.service: self._spec(s.service) for s in stages if s.count},
+            {s.service: self._find_spec(s.service) for s in stages if s.count},
             [loop.create_future() for _ in stages],
         )
         tasks = [
@@ -221,7 +225,7 @@
             )
             for piece, outcome in zip(missing, outcomes, strict=True):
                 refs[piece.index] = outcome.ref
-            failure = _failure(outcomes)
+            failure = _stage_failure(outcomes)
             if failure is None:
                 return refs
             if attempt == MAX_ATTEMPTS or not self._can_retry(
@@ -251,7 +255,7 @@
     def _can_retry(self, run, stage, failure, attempt):
         if failure.kind is kinds.Kind.HOPELESS:
             return False
-        # A retry has the same inputs, so those that are gone stay gone.
+        # A retry would have the same inputs, which are no longer stored.
         allowed = failure.reason != "gone"
         if allowed and failure.sent:
             allowed = self._budget.try_spend(
@@ -266,19 +270,21 @@
         )
         return allowed
 
-    def _spec(self, name):
-        service = self._services(name)
+    def _find_spec(self, name):
+        service = self._find_service(name)
         return None if service is None else service.pieces
 
     def _concurrency(self, name):
-        return self._batcher(name).concurrency if self._services(name) else 0
+        return (
+            self._batcher(name).concurrency if self._find_service(name) else 0
+        )
 
     def _stored_bytes(self, name):
         batcher = self._batchers.get(name)
         return 0 if batcher is None else batcher.stored_bytes
 
     def _batcher(self, name):
-        service = self._services(name)
+        service = self._find_service(name)
         batcher = self._batchers.get(name)
         if batcher is None or batcher.service.pieces != service.pieces:
             self._batchers[name] = self._make_batcher(
@@ -289,7 +295,7 @@
         return self._batchers[name]
 
 
-def _failure(outcomes):
+def _stage_failure(outcomes):
     """Return the failure of a stage's pieces, or None if there is none."""
     failed = [each for each in outcomes if each.ref is None]
     if not failed:
--- a/sycamoreshed/staging/delegation.py
+++ b/sycamoreshed/staging/delegation.py
@@ -2,8 +2,8 @@
 
 Endpoints that process one call at a time are best served by a single queue.
 Rendezvous hashing over the registered instances of a zone selects the one
-that has its queue: no messages are needed, and another instance takes over
-at once if it does not answer.
+that has its queue, without any messages; as soon as that instance does not
+answer, the next one is used.
 """
 
 import functools
@@ -28,14 +28,14 @@
 FREE_TIMEOUT_S = 0.5
 # Time to live of a zone's reported backlog.
 BACKLOG_TTL_S = 1.0
-# A zone farther away is selected only if its backlog is shorter by this for
-# each step of distance.
+# Among zones with usable endpoints for equally many services, one farther away
+# is selected only if its backlog is shorter by this for each step of distance.
 DISTANCE_COST_S = 0.04
 # And by this for each megabyte of results that would cross zones: this traffic
 # is paid for.
 TRANSFER_COST_S_PER_MB = 0.04
 MB = 1e6
-# Instances tried in turn for one job.
+# Attempts at one job, in other zones or at other instances if there are any.
 MAX_ATTEMPTS = 3
 
 
@@ -51,7 +51,9 @@
     reported_at: float
 
 
-class _Origin(typing.NamedTuple):
+class _StoredResult(typing.NamedTuple):
+    """A result, the service that computed it, and the zone it is stored in."""
+
     service: str
     zone: str
     ref: pieces.ResultRef
@@ -104,7 +106,7 @@
         self._spawn = spawn
         self._coordinators = {}
         self._backlog_reports = {}
-        self._origins = {}
+        self._stored_results = {}
 
     async def run(self, job, handles, *, engine_zone):
         """Run the stages of a request.
@@ -121,9 +123,9 @@
         Returns
         -------
         list of str or Failure
-            Handles of the final stages' results, in order.  Running
-            stages does not run the request itself, so the `sent` of a
-            failure is never true.
+            Handles of the final stages' results, in order.  The `sent`
+            of a failure is false: running stages is not running the
+            request itself.
         """
         if not any(stage.count for stage in job.stages):
             return []
@@ -186,10 +188,10 @@
         """Free results, through the instances that coordinate their zones."""
         by_zone = {}
         for handle in handles:
-            origin = self._origins.pop(handle, None)
-            if origin is not None:
-                freed = FreedResult(origin.service, origin.ref)
-                by_zone.setdefault(origin.zone, []).append(freed)
+            stored = self._stored_results.pop(handle, None)
+            if stored is not None:
+                freed = FreedResult(stored.service, stored.ref)
+                by_zone.setdefault(stored.zone, []).append(freed)
         for zone, freed in by_zone.items():
             name, control = self._coordinating_instance(zone, self._clock())
             if name == self._instance:
@@ -213,10 +215,10 @@
         sizes = {stage.service: stage.result_bytes for stage in stages}
         by_zone = {}
         for handle in handles:
-            origin = self._origins.get(handle)
-            if origin is not None:
-                size = sizes.get(origin.service, 0)
-                by_zone[origin.zone] = by_zone.get(origin.zone, 0) + size
+            stored = self._stored_results.get(handle)
+            if stored is not None:
+                size = sizes.get(stored.service, 0)
+                by_zone[stored.zone] = by_zone.get(stored.zone, 0) + size
         return by_zone
 
     def choose_zone(self, job, now, engine_zone, avoid=()):
@@ -232,31 +234,32 @@
             Zones where it failed, used only if there are no others.
         """
         names = {s.service for s in job.stages if s.count}
-        zones = {}
+        usable_by_zone = {}
         for name in names:
             for each in self._catalog.endpoints(name, now):
                 usable = not self._health.is_avoided(each, now)
-                services = zones.setdefault(each.zone, {})
+                services = usable_by_zone.setdefault(each.zone, {})
                 services[name] = services.get(name, False) or usable
-        candidates = [zone for zone in zones if zone not in avoid] or (
-            list(zones)
-        )
+        candidates = [
+            zone for zone in usable_by_zone if zone not in avoid
+        ] or list(usable_by_zone)
         final = pieces.final_stages(job.stages)
         size = sum(
             job.stages[i].result_bytes * job.stages[i].count for i in final
         )
 
         def cost(zone):
-            usable = sum(zones[zone].values())
+            usable_count = sum(usable_by_zone[zone].values())
             distance = self._placer.distance(zone)
             wait_s = (
                 self._backlog_s(zone, names, now) + DISTANCE_COST_S * distance
             )
             if zone != engine_zone:
                 wait_s += TRANSFER_COST_S_PER_MB * size / MB
-            # Where a service has no usable endpoint in the zone, those of
-            # other zones serve this queue as well as their own.
-            return -usable, wait_s, zone
+            # A zone that lacks a usable endpoint of a service comes later:
+            # its queue would use an endpoint of another zone, in competition
+            # with the queue there.
+            return -usable_count, wait_s, zone
 
         return min(candidates, key=cost, default=None)
 
@@ -278,7 +281,9 @@
             stage = job.stages[index]
             for _ in range(stage.count):
                 ref = next(refs)
-                self._origins[ref.handle] = _Origin(stage.service, zone, ref)
+                self._stored_results[ref.handle] = _StoredResult(
+                    stage.service, zone, ref
+                )
                 recorded.append(ref.handle)
         handles += recorded
         return recorded
@@ -287,8 +292,9 @@
         """Return name and address of the instance that coordinates a zone."""
         candidates = self._peers.eligible(zone, now)
         if not candidates:
-            # No instance can coordinate the zone: an additional queue is
-            # better than endpoints that nobody uses.
+            # No instance is eligible, so this one coordinates the zone: if
+            # others do the same, too many queues are still better than
+            # endpoints that nobody uses.
             return self._instance, None
         (name,) = rendezvous.top(zone, candidates, 1)
         return name, candidates[name]
@@ -331,7 +337,7 @@
         return self._coordinators[zone]
 
 
-def _services(core, name):
+def _find_service(core, name):
     configuration = core.part("catalog").configuration
     service = configuration and configuration.services.get(name)
     return service if service and service.pieces else None
@@ -354,7 +360,7 @@
         return batching.Batcher(
             service=service,
             endpoints=endpoints,
-            lookup=core.part("catalog").endpoint,
+            find_endpoint=core.part("catalog").endpoint,
             scheduler=scheduler,
             client=core.part("endpoint_client"),
             codec=core.part("platform"),
@@ -366,7 +372,7 @@
 
     return coordinator.Coordinator(
         zone=zone,
-        services=functools.partial(_services, core),
+        find_service=functools.partial(_find_service, core),
         endpoints=functools.partial(_endpoints, core, zone),
         make_batcher=make_batcher,
         budget=core.part("budget"),
--- a/sycamoreshed/staging/pieces.py
+++ b/sycamoreshed/staging/pieces.py
@@ -47,9 +47,9 @@
     target_s, soft_limit_s, hard_limit_s : float
         Seconds from now by which all results should be available for the
         answer to meet the route's target, after which the job is
-        abandoned while other jobs wait, and after which nobody waits for
-        the answer.  Relative times, because the clocks of instances
-        differ.
+        abandoned (unless its stages need longer even when idle), and
+        after which nobody waits for the answer.  Relative times, because
+        the clocks of instances differ.
     team : str or None
     team_priority, priority : int
         Of the team and of the route; 0 is the most urgent.
@@ -85,7 +85,7 @@
     is_late : bool
         Whether it failed for lack of time.
     backlog_s : dict of str to float
-        By service, the seconds of work that wait for each endpoint.
+        By service, seconds until its queued work could be done.
     retry_s : float or None
         For a rejected job, seconds after which it may be admitted.
     """
@@ -106,7 +106,8 @@
     stage, index : int
         Which stage of the route, and which of its pieces.
     deadline : float
-        Monotonic time after which nobody waits for its result.
+        Monotonic time by which its result must be available for the job
+        to meet its deadline.
     key : str or None
         Identifies the source data of a piece of a first stage.
     inputs : tuple of str
@@ -128,8 +129,12 @@
     ----------
     ref : ResultRef or None
     reason : str or None
+        "late": its deadline passed; "room": no memory for the result;
+        "full": the endpoint did not run the call; "gone": its inputs are
+        no longer stored; "error": the call failed; or another reason
+        that the endpoint gave.
     sent : bool
-        Whether a call with the piece reached an endpoint.
+        Whether an endpoint may have processed the call.
     """
 
     ref: ResultRef | None
@@ -150,7 +155,7 @@
 
 
 def stage_s(stage, spec):
-    """Return the seconds that a call with a stage's pieces takes."""
+    """Return the shortest time of a stage: one call, at most a full batch."""
     return spec.call_s + min(stage.count, spec.batch) * spec.piece_s
 
 
--- a/sycamoreshed/staging/pool.py
+++ b/sycamoreshed/staging/queueing.py
@@ -1,4 +1,4 @@
-"""Selects the pieces of the next call, and the endpoint it goes to.
+"""Queue of a service: selects the pieces and the endpoint of the next call.
 
 A call takes a fixed time and a little more for each piece, so pieces of
 many requests share calls: those that arrive while all endpoints are busy
@@ -8,18 +8,19 @@
 import bisect
 import typing
 
-__all__ = ["Batch", "Pool", "QueuedPiece", "is_large_result"]
+__all__ = ["Batch", "QueuedPiece", "ServiceQueue", "is_large_result"]
 
-# Weight of the newest call in an endpoint's slowdown; two calls are enough to
-# show one.
+# Weight of the newest call in the moving average of an endpoint's slowdown;
+# two calls are enough to detect a slow endpoint.
 SLOWDOWN_WEIGHT = 0.5
-# Results of more than this share of an endpoint's memory are large: a few
-# calls fill it.
+# Results of at least this share of an endpoint's memory are large: a few calls
+# fill it.
 LARGE_SHARE = 0.04
-# How long an endpoint's report that its memory is full overrides the count
-# kept here: it may store results for an instance that used it before, or
-# larger ones than configured.  About two calls; then it is tried again.
-FULL_TTL_S = 0.5
+# How long memory counts as occupied, beyond the results recorded here, after
+# an endpoint reported that it has none: it may store results for an instance
+# that used it before, or larger ones than configured.  About two calls; then
+# it is tried again.
+FULL_REPORT_TTL_S = 0.5
 
 
 class QueuedPiece(typing.NamedTuple):
@@ -52,7 +53,7 @@
 
 
 def is_large_result(size, spec):
-    """Return whether a few results of a size fill an endpoint's memory."""
+    """Return whether results of a size are large for an endpoint."""
     return size >= LARGE_SHARE * spec.room_bytes
 
 
@@ -61,8 +62,8 @@
 
     Notes
     -----
-    A service may process two stages of a request, one of which has to wait
-    for the other.
+    A service may process two stages of a request.  They start independently:
+    one may have to wait until the other is done.
     """
     groups = {}
     for entry in queue:
@@ -71,7 +72,7 @@
     return groups.values()
 
 
-class Pool:
+class ServiceQueue:
     """The queue of a service, and the load of its endpoints.
 
     Parameters
@@ -82,23 +83,23 @@
     def __init__(self, *, spec):
         self.spec = spec
         self._queue = []
-        # By endpoint: expected ends of its calls, bytes of stored results,
-        # reports that its memory is full, and slowdown.  Expiry times of
-        # results are by handle.
+        # By endpoint: expected ends of its calls, and bytes of its results.
+        # By handle of a result: expiry time, endpoint and bytes.  By endpoint:
+        # expiry time and bytes of results not recorded here, and slowdown.
         self._calls = {}
         self._stored = {}
-        self._expiry = {}
-        self._full = {}
+        self._results = {}
+        self._uncounted = {}
         self._slowdowns = {}
 
     @property
-    def queued(self):
+    def queued_count(self):
         """Number of pieces in the queue."""
         return len(self._queue)
 
     @property
     def stored_bytes(self):
-        """Bytes of results that all endpoints store."""
+        """Bytes of results that all endpoints store or compute."""
         return sum(self._stored.values())
 
     def slowdown(self, endpoint):
@@ -106,13 +107,13 @@
 
         Notes
         -----
-        An endpoint can become slow without failing.  If the configured
-        speed were assumed, its zone would still be sent requests, and
+        An endpoint can become slow without failing.  With estimates by
+        the configured speed, its zone would still be sent requests, and
         answer them four times too late.
         """
         return self._slowdowns.get(endpoint.id, 1.0)
 
-    def calls(self, endpoint):
+    def call_count(self, endpoint):
         """Return the number of calls in progress at an endpoint."""
         return len(self._calls.get(endpoint.id, ()))
 
@@ -147,8 +148,7 @@
             Those that may get calls now.
         now : float
         can_start : callable
-            Takes a `Piece`; False while the next stage has enough
-            pending pieces.
+            Takes a `Piece`, returns whether it may be sent now.
         should_wait : callable, optional
             Takes the pieces selected for the last free endpoint; True if
             the call should wait for more of them.
@@ -156,14 +156,16 @@
         Returns
         -------
         Batch or None
-            None if no queued piece can start, or no endpoint is free and
-            has memory for a result.
+            None if no queued piece can start, no endpoint is free and
+            has memory for a result, or the call should wait.
         """
         if not self._queue:
             return None
         self._expire(now)
         free = [
-            each for each in endpoints if self.calls(each) < self.spec.slots
+            each
+            for each in endpoints
+            if self.call_count(each) < self.spec.slots
         ]
         if not free:
             return None
@@ -190,8 +192,9 @@
             capacity = self.spec.batch - len(selected)
             size = sum(entry.result_bytes for entry in group)
             if size > free_bytes and self._is_indivisible(group, size):
-                # Memory that becomes free is reserved for it; otherwise
-                # smaller groups behind it would take it again and again.
+                # Until the group fits, only smaller results are sent;
+                # others would take the memory that becomes free again and
+                # again.
                 free_bytes = min(free_bytes, group[0].result_bytes - 1)
                 continue
             if selected and (len(group) > capacity or size > free_bytes):
@@ -200,8 +203,9 @@
             free_bytes = _select_fitting(
                 group[:capacity], free_bytes, selected
             )
-        # A split request waits one call longer for its second part, but a
-        # call that goes out half full delays all others as much.
+        # Fill the call with parts of postponed groups: a split request waits
+        # a call longer for its second part, but a half-full call costs all
+        # others as much.
         for group in postponed:
             capacity = self.spec.batch - len(selected)
             free_bytes = _select_fitting(
@@ -210,11 +214,12 @@
         return selected
 
     def _is_indivisible(self, group, size):
-        """Return whether a request's pieces are sent all in one call.
+        """Return whether a group's pieces have to be sent in one call.
 
         Notes
         -----
-        The encoder results of a few requests fill an endpoint's memory.
+        Results of encoders are large: those of a few requests fill an
+        endpoint's memory.
         If pieces were sent one by one as memory for a result becomes
         free, many requests would store some results each and wait for
         the rest, in calls of one or two pieces.  What fits into no call
@@ -229,11 +234,11 @@
     def free_bytes(self, endpoint):
         """Return the free memory for results at an endpoint."""
         stored = self._stored.get(endpoint.id, 0)
-        _, unknown = self._full.get(endpoint.id, (0.0, 0.0))
-        return self.spec.room_bytes - stored - unknown
+        _, uncounted = self._uncounted.get(endpoint.id, (0.0, 0.0))
+        return self.spec.room_bytes - stored - uncounted
 
     def start_call(self, batch, now):
-        """Count a call that is sent, and the memory for its results.
+        """Record the start of a call, and the memory for its results.
 
         Returns
         -------
@@ -249,7 +254,7 @@
         return expected_end
 
     def end_call(self, batch, expected_end, outcomes, now):
-        """Count the end of a call.
+        """Record the end of a call.
 
         Parameters
         ----------
@@ -268,7 +273,7 @@
             if outcome.ref is None:
                 self._release(key, entry.result_bytes)
             else:
-                self._expiry[outcome.ref.handle] = (
+                self._results[outcome.ref.handle] = (
                     expires_at,
                     key,
                     entry.result_bytes,
@@ -279,10 +284,13 @@
             if outcome.reason == "room"
         ]
         if rejected:
-            # Its free memory is less than the smallest of these.
-            self._full.pop(key, None)
-            unknown = self.free_bytes(batch.endpoint) - min(rejected) / 2
-            self._full[key] = (now + FULL_TTL_S, max(0.0, unknown))
+            # Less than the smallest of these is free; half of it is assumed.
+            self._uncounted.pop(key, None)
+            uncounted = self.free_bytes(batch.endpoint) - min(rejected) / 2
+            self._uncounted[key] = (
+                now + FULL_REPORT_TTL_S,
+                max(0.0, uncounted),
+            )
 
     def _update_slowdown(self, batch, expected_end, now):
         slowdown = self.slowdown(batch.endpoint)
@@ -294,8 +302,8 @@
         )
 
     def free(self, handle):
-        """Count the memory of a freed or expired result as free."""
-        stored = self._expiry.pop(handle, None)
+        """Record that the memory of a result is free."""
+        stored = self._results.pop(handle, None)
         if stored is not None:
             _, key, size = stored
             self._release(key, size)
@@ -307,14 +315,14 @@
     def _expire(self, now):
         expired = [
             handle
-            for handle, (expires_at, _, _) in self._expiry.items()
+            for handle, (expires_at, _, _) in self._results.items()
             if expires_at <= now
         ]
         for handle in expired:
             self.free(handle)
-        for key, (expires_at, _) in list(self._full.items()):
+        for key, (expires_at, _) in list(self._uncounted.items()):
             if expires_at <= now:
-                del self._full[key]
+                del self._uncounted[key]
 
     def _release(self, key, size):
         self._stored[key] = max(0, self._stored.get(key, 0) - size)
--- a/sycamoreshed/staging/scheduling.py
+++ b/sycamoreshed/staging/scheduling.py
@@ -1,15 +1,15 @@
 """Admission and order of the jobs in a zone's queue.
 
 The scheduler has all jobs of the queue in one place, so it can estimate on
-arrival when a new job will end: every job ahead of it has to pass through the
-same bottleneck service.
+arrival when a new job will end: its wait is the work of the jobs ahead of it
+at the busiest of its services.
 """
 
 import collections
 import typing
 
 from sycamoreshed.staging import pieces
-from sycamoreshed.staging import pool
+from sycamoreshed.staging import queueing
 from sycamoreshed.staging import usage
 from sycamoreshed.staging import waits
 
@@ -19,41 +19,44 @@
 # it.  It exceeds the usual differences between targets, which would outweigh
 # priority otherwise.
 PRIORITY_STEP_S = 0.8
-# Slack that a job needs at admission for each level of lower priority, if any
-# work is ahead of it: more urgent jobs that arrive later will overtake it.
-PRIORITY_RESERVE_S = 0.25
+# Slack that a job with work ahead of it needs at admission, for each level of
+# its route's priority: more urgent jobs that arrive later will overtake it.
+PRIORITY_SLACK_S = 0.25
 # Extra slack for a job whose team has recently used far more than an equal
 # share.  It exceeds the work of one job; otherwise a team that floods the
 # stages has the jobs of all others rejected.
-TEAM_RESERVE_S = 0.2
-# Admission rates are averaged for each priority and for all jobs.  A priority
-# whose rate is below this fraction of the overall rate is underserved: its
-# jobs go first, and jobs of other priorities need the slack below.  Going
-# first alone does not help jobs that have slightly less slack than others.
-MIN_RELATIVE_RATE = 0.75
+TEAM_SLACK_S = 0.2
+# The admission ratio, the share of jobs admitted, is averaged for each
+# priority and for all jobs.  A priority with less than this fraction of the
+# overall ratio is underserved: its jobs are ordered one level before priority
+# 0, and all others need `UNDERSERVED_SLACK_S`.  Order alone does not help jobs
+# that have slightly less slack than others.
+MIN_RELATIVE_RATIO = 0.75
 UNDERSERVED_PRIORITY = -1
-UNDERSERVED_RESERVE_S = 0.2
-# Weight of the newest job in an admission rate.
-RATE_WEIGHT = 0.025
+UNDERSERVED_SLACK_S = 0.2
+# Weight of the newest job in an admission ratio.
+RATIO_WEIGHT = 0.025
 ALL_PRIORITIES = None
 # Average fill of calls under load, as a fraction of the largest batch: the
 # pieces of different requests do not pack exactly.
 MEAN_FILL = 0.75
-# Limit on the pending pieces of a service, in full calls of all its endpoints;
-# those whose inputs are still being computed count.  With more, results that
-# wait to be fetched fill the memory of the stage before, whose calls then go
-# out nearly empty; with less, an endpoint that finishes finds nothing to do.
+# Limit on the pending pieces of a service (including those whose inputs are
+# being computed), in full calls of all its endpoints.  With a higher one,
+# results that wait to be fetched fill the memory of the preceding stage, whose
+# calls then go out nearly empty; with a lower one, an endpoint that finishes
+# finds nothing to do.
 MAX_PENDING_CALLS = 4.0
-# Lower bound of the concurrency, which is zero where a zone has no endpoint
-# for the moment; avoids a division by zero.
+# Lower bound of the concurrency in estimates of work; avoids a division by
+# zero while a zone has no endpoint.
 MIN_CONCURRENCY = 0.1
-# Expected time that a result occupies memory: its call, the transfer to the
-# engine and the call that frees it.
+# Expected time that a result occupies memory: its call, the transfer (to the
+# engine, for final results) and the call that frees it.
 RESULT_LIFETIME_S = 0.6
 
 
-# A job that will miss its target is admitted if its soft limit is this many
-# times its expected time: jobs that can meet their targets overtake it.
+# A job that will miss its target is admitted behind others only if its soft
+# limit is at least this multiple of its expected time, because jobs that can
+# meet their targets overtake it.
 LATE_FACTOR = 1.6
 
 
@@ -74,7 +77,7 @@
         is abandoned.
     priority : int
         Of its route, or `UNDERSERVED_PRIORITY`.
-    is_late : bool
+    will_miss_target : bool
         Whether it is expected to miss its target; such jobs go behind
         all others.
     sequence : int
@@ -89,7 +92,7 @@
     target_at: float
     deadline: float
     priority: int
-    is_late: bool
+    will_miss_target: bool
     sequence: int
     admitted_at: float = 0.0
     work_ahead_s: float = 0.0
@@ -99,7 +102,7 @@
         """Sort key; the job with the smallest goes first."""
         level = self.job.team_priority + self.priority
         urgency = self.target_at + PRIORITY_STEP_S * level
-        return self.is_late, urgency, self.sequence
+        return self.will_miss_target, urgency, self.sequence
 
 
 class UpcomingPieces(typing.NamedTuple):
@@ -111,7 +114,7 @@
 
 
 class _Load(typing.NamedTuple):
-    """Pieces that jobs still need of a service, and bytes of results."""
+    """Unsent pieces of a service, and bytes of their results."""
 
     count: int = 0
     result_bytes: int = 0
@@ -125,18 +128,18 @@
 
     Parameters
     ----------
-    specs : callable
+    find_spec : callable
         Takes the name of a service, returns its `PieceSpec` or None.
     concurrency : callable
         Takes the name of a service, returns how many calls its endpoints
         process at a time.
     stored_bytes : callable
         Takes the name of a service, returns the bytes of results that
-        its endpoints store.
+        its endpoints store or compute.
     """
 
-    def __init__(self, *, specs, concurrency, stored_bytes):
-        self._specs = specs
+    def __init__(self, *, find_spec, concurrency, stored_bytes):
+        self._find_spec = find_spec
         self._concurrency = concurrency
         self._stored_bytes = stored_bytes
         # By sequence number: jobs, their ranks, and how many pieces of each
@@ -148,10 +151,11 @@
         # them has; with their services and pieces.
         self._pending = {}
         self._pending_pieces = collections.Counter()
-        # Those of them whose inputs are all being computed, and until when.
+        # Those of them that follow a stage whose pieces have all been sent,
+        # and when its last call should end.
         self._upcoming = {}
         self._sequence = 0
-        self._rates = {}
+        self._admission_ratios = {}
         self._wait_factor = waits.WaitFactor()
         self._usage = usage.TeamUsage()
 
@@ -164,14 +168,14 @@
         """
         self._sequence += 1
         priority = job.priority
-        reserve_s = PRIORITY_RESERVE_S * priority
+        slack_s = PRIORITY_SLACK_S * priority
         if self._is_underserved(priority):
             priority = UNDERSERVED_PRIORITY
-            reserve_s = 0.0
-        elif any(map(self._is_underserved, self._rates)):
-            reserve_s = max(reserve_s, UNDERSERVED_RESERVE_S)
+            slack_s = 0.0
+        elif any(map(self._is_underserved, self._admission_ratios)):
+            slack_s = max(slack_s, UNDERSERVED_SLACK_S)
         if self._usage.is_heavy(job.team, now):
-            reserve_s += TEAM_RESERVE_S
+            slack_s += TEAM_SLACK_S
         min_s = self._min_job_s(job)
         limit_s = max(job.soft_limit_s, MIN_LIMIT_FACTOR * min_s)
         admitted = AdmittedJob(
@@ -179,20 +183,20 @@
             target_at=now + job.target_s,
             deadline=now + min(job.hard_limit_s, limit_s),
             priority=priority,
-            is_late=False,
+            will_miss_target=False,
             sequence=self._sequence,
         )
         ahead_s = self._work_ahead_s(admitted)
         admitted = admitted._replace(admitted_at=now, work_ahead_s=ahead_s)
         wait_s = self._wait_factor.factor * ahead_s
-        if now + wait_s + min_s + (reserve_s if wait_s else 0.0) > (
+        if now + wait_s + min_s + (slack_s if wait_s else 0.0) > (
             admitted.target_at
         ):
-            admitted = admitted._replace(is_late=True)
+            admitted = admitted._replace(will_miss_target=True)
             if not self._can_admit_late(admitted, min_s, now):
-                self._update_rates(job.priority, 0.0)
+                self._update_ratios(job.priority, 0.0)
                 return None
-        self._update_rates(job.priority, 1.0)
+        self._update_ratios(job.priority, 1.0)
         self._usage.add(job.team, now)
         self._jobs[self._sequence] = admitted
         self._ranks[self._sequence] = admitted.rank
@@ -215,10 +219,12 @@
             )
         return now + min_s <= admitted.deadline
 
-    def _update_rates(self, priority, outcome):
+    def _update_ratios(self, priority, is_admitted):
         for key in (priority, ALL_PRIORITIES):
-            rate = self._rates.get(key, 1.0)
-            self._rates[key] = rate + RATE_WEIGHT * (outcome - rate)
+            ratio = self._admission_ratios.get(key, 1.0)
+            self._admission_ratios[key] = ratio + RATIO_WEIGHT * (
+                is_admitted - ratio
+            )
 
     def _is_underserved(self, priority):
         """Return whether jobs of a priority are rejected far more often.
@@ -227,11 +233,16 @@
         served at all: to their callers the service would seem down,
         while other callers lose little if they yield now and then.
         """
-        rate = self._rates.get(priority, 1.0)
-        return rate < MIN_RELATIVE_RATE * self._rates.get(ALL_PRIORITIES, 1.0)
+        ratio = self._admission_ratios.get(priority, 1.0)
+        return ratio < MIN_RELATIVE_RATIO * self._admission_ratios.get(
+            ALL_PRIORITIES, 1.0
+        )
 
     def expected_lateness(self, job, now):
-        """Return by how many seconds a new job would miss its target."""
+        """Return by how many seconds a new job would miss its target.
+
+        Estimated at the most urgent route priority and without slack.
+        """
         candidate = AdmittedJob(
             job, now + job.target_s, now, 0, False, self._sequence
         )
@@ -241,7 +252,7 @@
 
     def record_completion(self, admitted, now):
         """Adjust the wait factor by a job whose results are complete."""
-        if not admitted.is_late:
+        if not admitted.will_miss_target:
             waited_s = (
                 now - admitted.admitted_at - self._min_job_s(admitted.job)
             )
@@ -302,7 +313,7 @@
         return sorted(found, key=lambda each: each.due_at)
 
     def _clear_pending(self, admitted, index):
-        """Count a stage no longer as pending."""
+        """Remove a stage from the pending ones."""
         self._upcoming.pop((admitted.sequence, index), None)
         service, count = self._pending.pop(
             (admitted.sequence, index), (None, 0)
@@ -326,7 +337,7 @@
                 # Counted already: pieces of a stage before it were sent.
                 continue
             pending = self._pending_pieces[stage.service]
-            spec = self._specs(stage.service)
+            spec = self._find_spec(stage.service)
             concurrency = max(1.0, self._concurrency(stage.service))
             if pending and pending + stage.count > (
                 MAX_PENDING_CALLS * concurrency * spec.batch
@@ -339,17 +350,17 @@
 
         Notes
         -----
-        An engine fetches the results of all final stages together.  If
-        large ones are computed while another branch of three stages has
-        just begun, 3 MB occupy memory for a second or more.  An endpoint
-        has memory for about six of them: its calls then go out with one
-        or two pieces, while requests wait for memory.
+        An engine fetches the results of all final stages together.  If a
+        large one is computed while another branch, of three stages, has
+        just begun, its 3 MB occupy memory for a second or more.  An
+        endpoint has memory for about six of them: its calls then go out
+        with one or two pieces, while requests wait for memory.
         """
         stages = admitted.job.stages
         stage = stages[index]
-        spec = self._specs(stage.service)
+        spec = self._find_spec(stage.service)
         final = pieces.final_stages(stages)
-        if index not in final or not pool.is_large_result(
+        if index not in final or not queueing.is_large_result(
             stage.result_bytes, spec
         ):
             return False
@@ -386,7 +397,7 @@
 
     def _min_job_s(self, job):
         """Return the seconds a job takes if nothing is ahead of it."""
-        specs = {s.service: self._specs(s.service) for s in job.stages}
+        specs = {s.service: self._find_spec(s.service) for s in job.stages}
         paths_s = [
             pieces.stage_s(stage, specs[stage.service])
             + pieces.min_remaining_s(job.stages, index, specs)
@@ -396,7 +407,7 @@
         return max(paths_s, default=0.0)
 
     def backlog(self):
-        """Return the seconds of work that each service still has to do."""
+        """Return the seconds until each service could do its queued work."""
         return {
             name: max(
                 self._work_s(name, load),
@@ -422,20 +433,21 @@
 
     def _work_s(self, service, load):
         """Return the seconds a service needs for a load."""
-        spec = self._specs(service)
+        spec = self._find_spec(service)
         if spec is None:
             return 0.0
         concurrency = max(MIN_CONCURRENCY, self._concurrency(service))
         count = load.count
         if load.result_bytes > spec.room_bytes * concurrency:
-            # The other pieces wait for memory and delay no other job.
+            # Count only pieces whose results fit in memory: the rest wait
+            # for memory and do not delay other jobs.
             count *= spec.room_bytes * concurrency / load.result_bytes
         piece_s = spec.piece_s + spec.call_s / (MEAN_FILL * spec.batch)
         return count * piece_s / concurrency
 
     def _memory_wait_s(self, service, size):
         """Return the seconds until `size` bytes of results fit in memory."""
-        spec = self._specs(service)
+        spec = self._find_spec(service)
         if spec is None:
             return 0.0
         size += self._stored_bytes(service)
--- a/sycamoreshed/staging/tests/builders.py
+++ b/sycamoreshed/staging/tests/builders.py
@@ -4,7 +4,7 @@
 
 from sycamoreshed.catalog import types
 from sycamoreshed.staging import pieces
-from sycamoreshed.staging import pool
+from sycamoreshed.staging import queueing
 from sycamoreshed.staging import scheduling
 
 __all__ = ["endpoint", "job", "queued_piece", "scheduler", "spec"]
@@ -62,7 +62,7 @@
     """Return the scheduler of a zone whose services are all alike."""
     specs = specs or {"first": spec(), "second": spec()}
     return scheduling.Scheduler(
-        specs=specs.get,
+        find_spec=specs.get,
         concurrency=lambda _: concurrency,
         stored_bytes=lambda _: stored_bytes,
     )
@@ -72,4 +72,6 @@
     """Return a piece in the queue."""
     piece = pieces.Piece(request, 0, index, deadline=deadline, key="k")
     future = concurrent.futures.Future()
-    return pool.QueuedPiece(piece, (rank, request), result_bytes, 0.0, future)
+    return queueing.QueuedPiece(
+        piece, (rank, request), result_bytes, 0.0, future
+    )
--- a/sycamoreshed/staging/tests/test_batching.py
+++ b/sycamoreshed/staging/tests/test_batching.py
@@ -15,7 +15,7 @@
 from testkit import journals
 
 
-# Time of a clock that stands still: what waits for a time waits for ever.
+# Time of a clock that never advances: no time that is awaited ever comes.
 NOW = 100.0
 
 
@@ -62,7 +62,7 @@
     return batching.Batcher(
         service=service,
         endpoints=lambda _now: endpoints,
-        lookup={each.id: each for each in listed}.get,
+        find_endpoint={each.id: each for each in listed}.get,
         scheduler=scheduler or builders.scheduler(),
         client=client,
         codec=Codec(),
@@ -127,10 +127,10 @@
 
 
 async def test_a_call_waits_for_pieces_that_are_due_soon(client):
-    """A call of a stage ends 30 ms after an endpoint of the next is free.
+    """An endpoint is free 30 ms before the inputs of a second piece are there.
 
-    If the next stage's call is sent at once with one request's piece, it
-    takes its fixed time, and the other request waits for its end.
+    If a call is sent at once with the first piece alone, it takes its fixed
+    time, and the request of the second piece waits for its end.
     """
     batcher, ready, upcoming = second_stage(client, 0.03)
     tasks = [
--- a/sycamoreshed/staging/tests/test_coordinator.py
+++ b/sycamoreshed/staging/tests/test_coordinator.py
@@ -48,12 +48,12 @@
     return pieces.PieceOutcome(None, "gone", sent=True)
 
 
-def zone(**scripts):
+def build_coordinator(**scripts):
     """Return a coordinator, and its batchers by service."""
     batchers = {name: Batcher(name, each) for name, each in scripts.items()}
-    runner = coordinator.Coordinator(
+    zone_coordinator = coordinator.Coordinator(
         zone="north-a",
-        services=lambda name: (
+        find_service=lambda name: (
             batchers[name].service if name in batchers else None
         ),
         endpoints=lambda _name, _now: [builders.endpoint("e")],
@@ -65,7 +65,7 @@
         journal=journals.Journal(),
         clock=asyncio.get_running_loop().time,
     )
-    return runner, batchers
+    return zone_coordinator, batchers
 
 
 def job(*stages):
@@ -79,8 +79,12 @@
 
 async def test_results_of_final_stages_in_order():
     """Results of other stages are freed once no stage needs them."""
-    runner, batchers = zone(first=succeed, second=succeed)
-    outcome = await runner.run(job(("first", (), 2), ("second", (0,), 2)))
+    zone_coordinator, batchers = build_coordinator(
+        first=succeed, second=succeed
+    )
+    outcome = await zone_coordinator.run(
+        job(("first", (), 2), ("second", (0,), 2))
+    )
     assert [ref.handle for ref in outcome.results] == ["1/0", "1/1"]
     assert sorted(batchers["first"].freed) == ["0/0", "0/1"]
     assert not batchers["second"].freed
@@ -92,8 +96,10 @@
     Cancelling the wait must not raise in the coordinator, or the instance
     that delegated the job sees a closed connection instead of an answer.
     """
-    runner, batchers = zone(bad=fail, first=succeed, second=succeed)
-    outcome = await runner.run(
+    zone_coordinator, batchers = build_coordinator(
+        bad=fail, first=succeed, second=succeed
+    )
+    outcome = await zone_coordinator.run(
         job(("bad", (), 1), ("first", (), 2), ("second", (1,), 1))
     )
     assert outcome.results is None
@@ -113,24 +119,30 @@
             return pieces.PieceOutcome(None, "error", sent=True)
         return succeed(piece)
 
-    runner, _ = zone(first=flaky)
-    outcome = await runner.run(job(("first", (), 3)))
+    zone_coordinator, _ = build_coordinator(first=flaky)
+    outcome = await zone_coordinator.run(job(("first", (), 3)))
     assert len(outcome.results) == 3
     assert attempted == [0, 1, 2, 1]
 
 
 async def test_stages_without_pieces_are_skipped():
-    runner, batchers = zone(first=succeed, second=succeed)
-    outcome = await runner.run(job(("first", (), 0), ("second", (), 1)))
+    zone_coordinator, batchers = build_coordinator(
+        first=succeed, second=succeed
+    )
+    outcome = await zone_coordinator.run(
+        job(("first", (), 0), ("second", (), 1))
+    )
     assert [ref.handle for ref in outcome.results] == ["1/0"]
     assert not batchers["first"].calls
 
 
 async def test_results_are_freed_when_the_caller_disconnects():
     """The caller disconnects while the second stage is processed."""
-    runner, batchers = zone(first=succeed, second=succeed)
+    zone_coordinator, batchers = build_coordinator(
+        first=succeed, second=succeed
+    )
     task = asyncio.create_task(
-        runner.run(job(("first", (), 1), ("second", (0,), 1)))
+        zone_coordinator.run(job(("first", (), 1), ("second", (0,), 1)))
     )
     await asyncio.sleep(0.015)
     task.cancel()
--- a/sycamoreshed/staging/tests/test_pool.py
+++ b/sycamoreshed/staging/tests/test_queueing.py
@@ -1,7 +1,7 @@
 """Tests of which pieces go into the next call, and to which endpoint."""
 
 from sycamoreshed.staging import pieces
-from sycamoreshed.staging import pool
+from sycamoreshed.staging import queueing
 from sycamoreshed.staging.tests import builders
 
 
@@ -11,8 +11,8 @@
 
 
 def filled(*queued, **changes):
-    """Return a pool with pieces in its queue."""
-    queue = pool.Pool(spec=builders.spec(**changes))
+    """Return a queue with pieces in it."""
+    queue = queueing.ServiceQueue(spec=builders.spec(**changes))
     for each in queued:
         queue.add(each)
     return queue
@@ -27,7 +27,7 @@
     queue = filled(*(builders.queued_piece(r, 0) for r in "abc"))
     batch = queue.next_batch([builders.endpoint("e")], 0.0, can_start=always)
     assert names(batch) == [("a", 0), ("b", 0), ("c", 0)]
-    assert queue.queued == 0
+    assert queue.queued_count == 0
 
 
 def test_a_request_is_not_split_while_another_fits():
@@ -100,7 +100,7 @@
     batch = queue.next_batch([endpoint], 0.3, can_start=always)
     assert names(batch) == [("b", 0)]
     queue.start_call(batch, 0.3)
-    later = 0.2 + pool.FULL_TTL_S
+    later = 0.2 + queueing.FULL_REPORT_TTL_S
     other = builders.endpoint("f")
     assert queue.next_batch([other], later, can_start=always) is not None
 
@@ -111,7 +111,7 @@
         builders.queued_piece("b", 0),
     )
     assert [w.piece.request for w in queue.pop_late(1.0)] == ["a"]
-    assert queue.queued == 1
+    assert queue.queued_count == 1
 
 
 def test_an_endpoint_gets_one_call_at_a_time():
@@ -165,19 +165,19 @@
 def test_only_the_last_free_endpoint_may_wait_for_more_pieces():
     """With another endpoint idle, the call is sent at once."""
     queue = filled(builders.queued_piece("a", 0))
-    ends = [builders.endpoint("e"), builders.endpoint("f")]
+    endpoints = [builders.endpoint("e"), builders.endpoint("f")]
 
     def should_wait(selected):
         return len(selected) < 2
 
     assert (
         queue.next_batch(
-            ends[:1], 0.0, can_start=always, should_wait=should_wait
+            endpoints[:1], 0.0, can_start=always, should_wait=should_wait
         )
         is None
     )
-    assert queue.queued == 1
+    assert queue.queued_count == 1
     batch = queue.next_batch(
-        ends, 0.0, can_start=always, should_wait=should_wait
+        endpoints, 0.0, can_start=always, should_wait=should_wait
     )
     assert names(batch) == [("a", 0)]
--- a/sycamoreshed/staging/tests/test_scheduling.py
+++ b/sycamoreshed/staging/tests/test_scheduling.py
@@ -7,7 +7,7 @@
 from sycamoreshed.staging.tests import builders
 
 
-def test_a_job_that_cannot_meet_its_target_is_rejected_at_once():
+def test_jobs_that_would_be_too_late_are_rejected_at_once():
     """Jobs arrive faster than stages can process them.
 
     If all were admitted, each would wait until its deadline and make the
@@ -39,7 +39,8 @@
     for now in arrivals:
         while queue and free_at <= now:
             admitted = queue.pop(0)
-            # The busier stage has four pieces, in one call for each job.
+            # The job arrived 1.0 s before its target.  The busier stage has
+            # four pieces, in one call for each job.
             free_at = max(free_at, admitted.target_at - 1.0) + service.call_s
             free_at += 4 * service.piece_s
             scheduler.record_sent(admitted, 0, 2, 0.3)
@@ -50,7 +51,7 @@
         admitted = scheduler.admit(builders.job(f"r{now}"), now)
         if admitted is None:
             rejected += 1
-        elif not admitted.is_late:
+        elif not admitted.will_miss_target:
             queue.append(admitted)
     assert rejected > 20
     assert late <= done / 10
@@ -77,7 +78,7 @@
     high = scheduler.admit(builders.job("high", priority=0), 0.0)
     late = scheduler.admit(builders.job("late", target_s=0.1), 0.0)
     assert high.rank < low.rank < late.rank
-    assert late.is_late
+    assert late.will_miss_target
 
 
 def test_jobs_wait_before_a_stage_while_the_next_one_is_busy():
@@ -125,7 +126,7 @@
         priority = rng.choice((0, 1, 2))
         job = builders.job(f"r{number}", priority=priority)
         admitted = scheduler.admit(job, now)
-        if admitted is not None and not admitted.is_late:
+        if admitted is not None and not admitted.will_miss_target:
             admissions[priority] += 1
             end = max([now, *(end for end, _ in running)]) + 0.15
             running.append((end, admitted))
@@ -152,7 +153,7 @@
         team = "small" if rng.random() < 0.1 else "large"
         sent[team] += 1
         admitted = scheduler.admit(builders.job(f"r{number}", team=team), now)
-        if admitted is not None and not admitted.is_late:
+        if admitted is not None and not admitted.will_miss_target:
             admissions[team] += 1
             end = max([now, *(end for end, _ in running)]) + 0.15
             running.append((end, admitted))
@@ -221,4 +222,6 @@
         target_s=target_s + 0.05, soft_limit_s=target_s + 0.05
     )
     assert ahead is not None
-    assert not scheduler.admit(tight._replace(team="large"), 0.0).is_late
+    assert not scheduler.admit(
+        tight._replace(team="large"), 0.0
+    ).will_miss_target
--- a/sycamoreshed/staging/usage.py
+++ b/sycamoreshed/staging/usage.py
@@ -5,12 +5,12 @@
 
 __all__ = ["TeamUsage"]
 
-# Time constant of the decay: a few bursts of a team.
+# Time constant of the exponential decay; covers a few bursts of a team.
 DECAY_S = 5.0
-# A team's usage is heavy beyond this point between an equal share (0) and all
+# Threshold of heavy usage, interpolated between an equal share (0) and all
 # usage (1).  Teams differ in size; one that is merely larger crowds out
 # nobody.
-HEAVY_POINT = 0.25
+HEAVY_SHARE_WEIGHT = 0.25
 # Teams stored at most; the first one added is dropped first.
 MAX_TEAMS = 4096
 # A team with less usage than this counts as inactive.
@@ -23,7 +23,7 @@
 
 
 class TeamUsage:
-    """Decaying sums of the work admitted for each team.
+    """Decaying counts of the jobs admitted for each team.
 
     Examples
     --------
@@ -39,7 +39,7 @@
         self._usages = {}
 
     def add(self, team, now, amount=1.0):
-        """Count work that was admitted for a team."""
+        """Count a job that was admitted for a team."""
         current = self._amount(team, now)
         if team not in self._usages and len(self._usages) >= MAX_TEAMS:
             del self._usages[next(iter(self._usages))]
@@ -56,7 +56,7 @@
         if len(active) < 2:
             return False
         equal = 1 / len(active)
-        return own > sum(active) * (equal + HEAVY_POINT * (1 - equal))
+        return own > sum(active) * (equal + HEAVY_SHARE_WEIGHT * (1 - equal))
 
     def _amount(self, team, now):
         stored = self._usages.get(team)
--- a/sycamoreshed/staging/waits.py
+++ b/sycamoreshed/staging/waits.py
@@ -2,13 +2,14 @@
 
 __all__ = ["WaitFactor"]
 
-FIRST_FACTOR = 1.0
+INITIAL_FACTOR = 1.0
 # Share of jobs that should wait no longer than estimated.  At 0.9, a zone
 # under more load than it can carry rejects more jobs, and no more jobs meet
 # their targets.
 QUANTILE = 0.6
-# Change of the factor by one job.  About ten jobs, a second or two of a zone
-# under load, have an effect.
+# Step size: a job raises the factor by STEP * QUANTILE or lowers it by
+# STEP * (1 - QUANTILE).  About ten jobs, a second or two of a zone under load,
+# make a difference.
 STEP = 0.1
 # Bounds: a zone that was slow for a while must not reject everybody
 # afterwards, nor an idle one admit more than it can do.
@@ -19,7 +20,7 @@
 
 
 class WaitFactor:
-    """A factor on the work ahead of a job that follows measured waits.
+    """Online estimate of a quantile of waited time over expected time.
 
     Notes
     -----
@@ -42,7 +43,7 @@
     """
 
     def __init__(self):
-        self.factor = FIRST_FACTOR
+        self.factor = INITIAL_FACTOR
 
     def observe(self, expected_s, waited_s):
         """Adjust the factor by the wait of one job.
--- a/testkit/stagezone.py
+++ b/testkit/stagezone.py
@@ -153,7 +153,7 @@
                 )
         self.coordinator = coordinator.Coordinator(
             zone="north-a",
-            services=self._service,
+            find_service=self._service,
             endpoints=self._endpoints_of,
             make_batcher=self._batcher,
             budget=budget.RetryBudget(ratio=0.2, slack=50, window_s=10),
@@ -192,7 +192,7 @@
         return batching.Batcher(
             service=service,
             endpoints=endpoints,
-            lookup=self._listed.get,
+            find_endpoint=self._listed.get,
             scheduler=scheduler,
             client=self,
             codec=_Codec(),
