--- a/sycamoreshed/config/__init__.py
+++ b/sycamoreshed/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration that release notes decide."""
+"""The configuration, its schema, and the changes made by release notes."""
--- a/sycamoreshed/config/changes.py
+++ b/sycamoreshed/config/changes.py
@@ -1,22 +1,27 @@
-"""What a release note touches, and in what two notes differ."""
+"""The entries that a release note changes, and a comparison of two notes."""
 
 import typing
 
-__all__ = ["Difference", "differences", "entries", "touched"]
+__all__ = [
+    "Difference",
+    "differences",
+    "operations_by_path",
+    "touched_sections",
+]
 
-MOST_DIFFERENCES = 50
+MAX_DIFFERENCES = 50
 
 
 class Difference(typing.NamedTuple):
-    """An entry on which two notes do not agree.
+    """An entry that two conflicting notes treat differently.
 
     Parameters
     ----------
     path : str
         Section and name, such as ``teams/ilha``.
     yours, winner : str
-        What each does with it: ``added``, ``changed``, ``withdrawn`` or
-        ``untouched``.
+        What the rejected and the accepted note do with the entry:
+        ``added``, ``changed``, ``withdrawn`` or ``untouched``.
     """
 
     path: str
@@ -24,34 +29,39 @@
     winner: str
 
 
-def touched(note):
-    """Return the sections that a note touches.
+def touched_sections(note):
+    """Return the names of the sections that a note changes.
 
     Examples
     --------
-    >>> sorted(touched({"added": {"teams": {}}, "withdrawn": {"zones": []}}))
+    >>> sorted(
+    ...     touched_sections(
+    ...         {"added": {"teams": {}}, "withdrawn": {"zones": []}}
+    ...     )
+    ... )
     ['teams', 'zones']
     """
     return {
         section
-        for part in ("added", "changed", "withdrawn")
-        for section in note.get(part, {})
+        for operation in ("added", "changed", "withdrawn")
+        for section in note.get(operation, {})
     }
 
 
-def entries(note):
-    """Return what a note does, by path.
+def operations_by_path(note):
+    """Return the operations of a note by path.
 
     Returns
     -------
     dict of str to tuple
-        The part's name and the specification (None when withdrawn).
+        The operation (``added``, ``changed`` or ``withdrawn``) and the
+        specification, which is None when withdrawn.
     """
     result = {}
-    for part in ("added", "changed"):
-        for section, named in note.get(part, {}).items():
-            for name, spec in named.items():
-                result[f"{section}/{name}"] = (part, spec)
+    for operation in ("added", "changed"):
+        for section, specs in note.get(operation, {}).items():
+            for name, spec in specs.items():
+                result[f"{section}/{name}"] = (operation, spec)
     for section, names in note.get("withdrawn", {}).items():
         for name in names:
             result[f"{section}/{name}"] = ("withdrawn", None)
@@ -59,24 +69,25 @@
 
 
 def differences(yours, winner):
-    """Return where two notes differ, at most `MOST_DIFFERENCES`.
+    """Return the first `MAX_DIFFERENCES` differences of two notes.
 
     Parameters
     ----------
     yours, winner : Note
+        The rejected and the accepted note.
 
     Returns
     -------
     list of Difference
-        In order of path; what both do alike is left out.
+        Sorted by path; identical operations are left out.
     """
-    mine = entries(yours)
-    theirs = entries(winner)
+    rejected = operations_by_path(yours)
+    accepted = operations_by_path(winner)
     untouched = ("untouched", None)
     result = []
-    for path in sorted({*mine, *theirs}):
-        ours = mine.get(path, untouched)
-        other = theirs.get(path, untouched)
-        if ours != other:
-            result.append(Difference(path, ours[0], other[0]))
-    return result[:MOST_DIFFERENCES]
+    for path in sorted({*rejected, *accepted}):
+        rejected_op = rejected.get(path, untouched)
+        accepted_op = accepted.get(path, untouched)
+        if rejected_op != accepted_op:
+            result.append(Difference(path, rejected_op[0], accepted_op[0]))
+    return result[:MAX_DIFFERENCES]
--- a/sycamoreshed/config/schema.py
+++ b/sycamoreshed/config/schema.py
@@ -1,7 +1,8 @@
-"""The documents operators write: the configuration and its changes.
+"""Schema of the configuration and of release notes.
 
-A release note lists what is added, changed and withdrawn.  Each of the
-three has the same sections, so that one entry is described by one type.
+A release note lists the entries that are added, changed and withdrawn,
+each under the same sections, so that one type describes an entry
+wherever it occurs.
 """
 
 import typing
@@ -35,11 +36,11 @@
 
 
 class ServiceSpec(typing.TypedDict):
-    """A pool of like endpoints: engines, encoders, a plain service.
+    """A pool of equivalent endpoints: engines, encoders, a plain service.
 
-    ``repeatable`` false means that a call may not be sent twice.
-    ``lookup`` tells that an endpoint can be asked, by key, what became of
-    a call.
+    ``repeatable`` false means that a call must not be sent twice.
+    ``lookup`` means that an endpoint can be queried, by key, for the
+    outcome of a call.
     """
 
     kind: typing.Literal["engine", "pool", "plain"]
@@ -49,7 +50,7 @@
 
 
 class StageSpec(typing.TypedDict):
-    """One stage of a pipeline; ``share`` is its part of the deadline."""
+    """One stage of a pipeline; ``share`` is its fraction of the deadline."""
 
     name: str
     service: str
@@ -58,7 +59,7 @@
 
 
 class PipelineSpec(typing.TypedDict):
-    """What callers call: stages in order and the default deadline."""
+    """A callable pipeline: its stages in order and the default deadline."""
 
     stages: typing.Annotated[list[StageSpec], msgspec.Meta(min_length=1)]
     deadline_ms: Positive
@@ -67,7 +68,7 @@
 
 
 class TeamSpec(typing.TypedDict):
-    """Limits and weight of a team, for the whole system."""
+    """System-wide rate limit and scheduling weight of a team."""
 
     rate: Positive
     burst: typing.NotRequired[Positive]
@@ -75,9 +76,10 @@
 
 
 class EndpointSpec(typing.TypedDict):
-    """One endpoint.  ``checks_orders``: refuses old fencing numbers.
+    """One endpoint of a service.
 
-    ``rack`` names what fails as one; replicas are spread over racks.
+    ``checks_orders`` means that it rejects outdated fencing tokens.
+    ``rack`` names its failure domain; replicas are spread over racks.
     """
 
     address: str
@@ -89,11 +91,11 @@
 
 
 class PlacementSpec(typing.TypedDict):
-    """A model version and how many engines of each zone serve it.
+    """A model version and the number of engines per zone that serve it.
 
-    ``floor`` engines of a zone go on serving while versions change, one
-    less than the replicas if it is left out.  ``weight_bytes`` is what
-    one load takes from the weight store.
+    ``floor`` is the number of engines per zone that must keep serving
+    during a version change; the default is one less than the replicas.
+    ``weight_bytes`` is what one load reads from the weight store.
     """
 
     model: str
@@ -117,7 +119,7 @@
 
 
 class Withdrawn(typing.TypedDict):
-    """Names withdrawn, by section."""
+    """Names of withdrawn entries by section."""
 
     regions: typing.NotRequired[list[str]]
     services: typing.NotRequired[list[str]]
@@ -128,7 +130,10 @@
 
 
 class Document(typing.TypedDict):
-    """A configuration, or part number ``part`` of ``parts`` of one."""
+    """A full configuration, or one part of it.
+
+    ``part`` is the number of this part, from zero, out of ``parts``.
+    """
 
     version: int
     part: int
@@ -138,7 +143,7 @@
 
 
 class Note(typing.TypedDict):
-    """A release note, written on version ``base``."""
+    """A release note that applies to version ``base``."""
 
     id: str
     base: typing.Annotated[int, msgspec.Meta(ge=0)]
--- a/sycamoreshed/config/state.py
+++ b/sycamoreshed/config/state.py
@@ -1,8 +1,8 @@
-"""The configuration in force, and how a release note changes it.
+"""Versions of the configuration, and how a release note makes the next one.
 
-A version shares with the one before every section that a note leaves
-alone, so that 35,000 teams are copied only by a note on teams, and then
-only the table of their names and not what it refers to.
+A version shares every section that the note does not touch with the
+previous version.  The table of 35,000 teams is copied only by a note on
+teams, and the copy is shallow.
 """
 
 import bisect
@@ -33,19 +33,19 @@
 ]
 
 DEFAULT_SLOTS = 8
-PART_TEAMS = 4000
+TEAMS_PER_PART = 4000
 
 
 class Endpoint(typing.NamedTuple):
-    """An endpoint as routing sees it.
+    """An endpoint with the fields that routing needs.
 
     Parameters
     ----------
     name, address, service, zone, region : str
     slots : int
-        Calls it serves at a time.
+        Number of calls that it serves concurrently.
     checks_orders : bool
-        Whether it refuses an order with an old fencing number.
+        Whether it rejects orders with an outdated fencing token.
     """
 
     name: str
@@ -58,7 +58,7 @@
 
 
 class Config(typing.NamedTuple):
-    """One version of the configuration; never changed in place.
+    """One version of the configuration; never modified in place.
 
     Parameters
     ----------
@@ -67,7 +67,8 @@
     sections : Sections
         All entries.
     withdrawn : frozenset of str
-        Names of withdrawn pipelines, to tell them from unknown ones.
+        Names of withdrawn pipelines, to distinguish them from unknown
+        ones.
     endpoints : dict of str to tuple of Endpoint
         Endpoints by service.
     zones : dict of str to str
@@ -81,11 +82,11 @@
     zones: dict
 
     def entry(self, section, name):
-        """Return one entry or None."""
+        """Return the entry of this name, or None if there is none."""
         return self.sections[section].get(name)
 
     def is_assigned(self, pipeline, team):
-        """Return whether a team may call a pipeline that exists."""
+        """Return whether a team may call a pipeline, which must exist."""
         teams = self.sections["pipelines"][pipeline].get("teams")
         if not teams:
             return True
@@ -135,15 +136,15 @@
 
 
 def apply_note(config, note, *, source="note"):
-    """Return the configuration that follows from a note.
+    """Apply a note to a configuration and return the result.
 
     Parameters
     ----------
     config : Config
-        The version the note is written on.
+        The version on which the note is based.
     note : Note
     source : str
-        Name for messages.
+        Name of the note's source in error messages.
 
     Returns
     -------
@@ -153,12 +154,12 @@
     Raises
     ------
     CheckError
-        If the note adds what exists, changes or withdraws what does not,
-        or leaves a reference without its target.
+        If the note adds an entry that exists, changes or withdraws one
+        that does not, or leaves a reference without its target.
     """
-    touched = changes.touched(note)
+    touched_sections = changes.touched_sections(note)
     sections = dict(config.sections)
-    for section in touched:
+    for section in touched_sections:
         sections[section] = dict(sections[section])
     _merge(sections, note.get("added", {}), "added", False, source)
     _merge(sections, note.get("changed", {}), "changed", True, source)
@@ -167,16 +168,16 @@
         for name in names:
             path = f"$.withdrawn.{section}"
             if sections[section].pop(name, None) is None:
-                _refuse(source, path, f"{name!r} does not exist")
+                _reject(source, path, f"{name!r} does not exist")
             if section == "pipelines":
                 withdrawn.add(name)
     withdrawn.difference_update(sections["pipelines"])
     references.check(sections, note, source=source)
-    return _derive(config, sections, withdrawn, touched)
+    return _derive(config, sections, withdrawn, touched_sections)
 
 
 def document(config):
-    """Return a configuration as one `schema.Document`."""
+    """Return the full configuration as one `schema.Document`."""
     return schema.Document(
         version=config.version,
         part=0,
@@ -187,8 +188,8 @@
 
 
 def count_parts(config):
-    """Return in how many parts a configuration is told."""
-    return max(1, math.ceil(len(config.sections["teams"]) / PART_TEAMS))
+    """Return the number of parts in which a configuration is sent."""
+    return max(1, math.ceil(len(config.sections["teams"]) / TEAMS_PER_PART))
 
 
 def document_part(config, number):
@@ -197,14 +198,15 @@
     Notes
     -----
     A configuration of 35,000 teams takes 20 ms to encode and 60 ms to
-    decode and check.  Done in one go, every request of the instance would
-    wait so long; in parts others are served in between.
+    decode and check.  In a single step, this would block the event loop
+    and delay every request of the instance; between parts, requests are
+    served.
     """
     teams = config.sections["teams"]
-    first = number * PART_TEAMS
-    some = itertools.islice(teams.items(), first, first + PART_TEAMS)
+    first = number * TEAMS_PER_PART
+    part_teams = itertools.islice(teams.items(), first, first + TEAMS_PER_PART)
     sections = dict(config.sections) if number == 0 else {}
-    sections["teams"] = dict(some)
+    sections["teams"] = dict(part_teams)
     return schema.Document(
         version=config.version,
         part=number,
@@ -215,18 +217,18 @@
 
 
 def check_part(body):
-    """Return a decoded body as a `schema.Document`.
+    """Check a decoded body and return it as a `schema.Document`.
 
     Raises
     ------
     msgspec.ValidationError
-        If it is not one.
+        If it does not conform to the schema.
     """
     return msgspec.convert(body, schema.Document)
 
 
 def join_parts(parts):
-    """Return the `Config` of all parts, in order."""
+    """Build the `Config` from all parts, given in order."""
     sections = dict(parts[0]["sections"])
     teams = {}
     for part in parts:
@@ -236,7 +238,7 @@
 
 
 def check_note(raw, *, source):
-    """Check the bytes of a release note by itself.
+    """Decode a release note and check it without a configuration.
 
     Returns
     -------
@@ -249,35 +251,35 @@
     return checking.decode(raw, schema.Note, source=source)
 
 
-def _merge(sections, entries, part, must_exist, source):
-    for section, named in entries.items():
-        for name, spec in named.items():
-            path = f"$.{part}.{section}.{name}"
+def _merge(sections, entries, operation, must_exist, source):
+    for section, specs in entries.items():
+        for name, spec in specs.items():
+            path = f"$.{operation}.{section}.{name}"
             exists = name in sections[section]
             if exists and not must_exist:
-                _refuse(source, path, "exists already")
+                _reject(source, path, "exists already")
             if must_exist and not exists:
-                _refuse(source, path, "does not exist")
-            sections[section][name] = _in_order(spec)
+                _reject(source, path, "does not exist")
+            sections[section][name] = _with_sorted_teams(spec)
 
 
-def _in_order(spec):
-    """Return an entry with its teams, if it has any, in order.
+def _with_sorted_teams(spec):
+    """Return an entry with its list of teams, if any, sorted.
 
     Notes
     -----
-    A pipeline may name 35,000 teams, and each request looks for one.  A
-    set beside the list would cost 2 MB a pipeline, a list in order costs
-    nothing.
+    A pipeline may list 35,000 teams, and each request searches for one.
+    A set in addition to the list would take 2 MB per pipeline; binary
+    search in the sorted list needs no extra memory.
     """
     if "teams" not in spec:
         return spec
     return {**spec, "teams": sorted(spec["teams"])}
 
 
-def _derive(config, sections, withdrawn, touched):
-    """Build the next version, sharing with the last what is the same."""
-    if not touched.isdisjoint(("regions", "endpoints")):
+def _derive(config, sections, withdrawn, touched_sections):
+    """Build the next version, reusing the indexes that did not change."""
+    if not touched_sections.isdisjoint(("regions", "endpoints")):
         return compile_config(config.version + 1, sections, withdrawn)
     return Config(
         version=config.version + 1,
@@ -288,5 +290,5 @@
     )
 
 
-def _refuse(source, path, expected):
+def _reject(source, path, expected):
     raise exceptions.CheckError(source=source, path=path, expected=expected)
--- a/sycamoreshed/config/tests/test_state.py
+++ b/sycamoreshed/config/tests/test_state.py
@@ -1,4 +1,4 @@
-"""A note is applied whole, or refused with the place that is wrong."""
+"""A note is applied in full, or rejected with the path of the error."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -17,13 +17,13 @@
     return {"stages": list(stages), "deadline_ms": 100, **changes}
 
 
-def apply(part, section, entries):
-    note = builders.note(1, **{part: {section: entries}})
+def apply(operation, section, entries):
+    note = builders.note(1, **{operation: {section: entries}})
     return state.apply_note(CONFIG, note, source="n.json")
 
 
 @pytest.mark.parametrize(
-    "part, section, entries, place",
+    "operation, section, entries, path",
     [
         ("added", "teams", {"gaucho": {"rate": 1}}, "$.added.teams.gaucho"),
         ("changed", "teams", {"x": {"rate": 1}}, "$.changed.teams.x"),
@@ -73,15 +73,15 @@
         ),
     ],
 )
-def test_wrong_notes_are_refused_with_their_place(
-    part, section, entries, place
+def test_invalid_notes_are_rejected_with_the_path(
+    operation, section, entries, path
 ):
     with pytest.raises(exceptions.CheckError) as caught:
-        apply(part, section, entries)
-    assert (caught.value.source, caught.value.path) == ("n.json", place)
+        apply(operation, section, entries)
+    assert (caught.value.source, caught.value.path) == ("n.json", path)
 
 
-def test_a_version_shares_what_a_note_leaves_alone():
+def test_new_version_shares_untouched_sections():
     after = apply("changed", "teams", {"gaucho": {"rate": 9}})
     assert after.version == CONFIG.version + 1
     assert CONFIG.entry("teams", "gaucho") == {"rate": 1000}
@@ -90,22 +90,22 @@
     assert after.sections["pipelines"] is CONFIG.sections["pipelines"]
 
 
-def test_a_withdrawn_pipeline_is_told_from_an_unknown_one():
-    gone = apply("withdrawn", "pipelines", ["ballot"])
-    assert gone.withdrawn == {"ballot"}
+def test_withdrawn_pipeline_is_distinguished_from_an_unknown_one():
+    config = apply("withdrawn", "pipelines", ["ballot"])
+    assert config.withdrawn == {"ballot"}
     note = builders.note(2, added={"pipelines": {"ballot": pipeline(STAGE)}})
-    assert state.apply_note(gone, note).withdrawn == frozenset()
+    assert state.apply_note(config, note).withdrawn == frozenset()
 
 
 @settings(derandomize=True, deadline=None)
 @given(
     teams=strategies.lists(strategies.sampled_from("abcdef"), unique=True),
-    asked=strategies.sampled_from("abcdefg"),
+    team=strategies.sampled_from("abcdefg"),
 )
-def test_teams_are_found_however_a_note_lists_them(teams, asked):
+def test_assignment_does_not_depend_on_the_order_of_teams(teams, team):
     added = {
         "teams": {name: {"rate": 1} for name in "abcdefg"},
         "pipelines": {"p": pipeline(STAGE, teams=teams)},
     }
     config = state.apply_note(CONFIG, builders.note(1, added=added))
-    assert config.is_assigned("p", asked) == (not teams or asked in teams)
+    assert config.is_assigned("p", team) == (not teams or team in teams)
--- a/sycamoreshed/notes/__init__.py
+++ b/sycamoreshed/notes/__init__.py
@@ -1,1 +1,1 @@
-"""Release notes: check, accept, spread."""
+"""Release notes: validation, acceptance and distribution."""
--- a/sycamoreshed/notes/acceptance.py
+++ b/sycamoreshed/notes/acceptance.py
@@ -1,4 +1,4 @@
-"""Accepting a release note: one conditional write decides."""
+"""Acceptance of release notes by a single conditional write."""
 
 import asyncio
 import time
@@ -14,17 +14,17 @@
 
 __all__ = ["Acceptor", "Verdict"]
 
-ATTEMPTS = 3
-PAUSE_S = 0.1
+MAX_ATTEMPTS = 3
+RETRY_DELAY_S = 0.1
 
 
 class Verdict(typing.NamedTuple):
-    """What became of a note.
+    """The outcome of a note.
 
     Parameters
     ----------
     version : int or None
-        The version it made, if it was accepted.
+        The version that the note created, if it was accepted.
     failure : Failure or None
     winner : Note or None
         The note that was accepted instead.
@@ -39,13 +39,13 @@
 
 
 class Acceptor:
-    """Writes notes to the table.
+    """Validates notes and writes accepted ones to the table.
 
     Parameters
     ----------
     table : Table
     notes : Notes
-        Is told of every accepted note this learns.
+        Applies the notes accepted here.
     """
 
     def __init__(self, *, table, notes):
@@ -53,7 +53,7 @@
         self._notes = notes
 
     async def accept(self, note):
-        """Accept a note if it is written on the latest version.
+        """Accept a note if it is based on the latest version.
 
         Returns
         -------
@@ -61,29 +61,29 @@
 
         Notes
         -----
-        Applying a note again is harmless: its id is looked up first, and
-        the id's row is written in the same transaction as the note.
+        Acceptance is idempotent: the note's id is looked up first, and
+        the row of the id is written in the same transaction as the note.
         """
-        failure = await self._notes.follow()
+        failure = await self._notes.catch_up()
         if failure is not None:
-            return _unknown(failure)
+            return _unknown_verdict(failure)
         earlier = await self._earlier(note)
         if earlier is not None:
             return earlier
         if note["base"] != self._notes.config.version:
-            return await self._lost(note)
+            return await self._outdated(note)
         verdict = self.check(note)
         if verdict.failure is not None:
             return verdict
         return await self._write(note)
 
     def check(self, note):
-        """Check a note against the configuration in force.
+        """Validate a note against the current configuration.
 
         Returns
         -------
         Verdict
-            With the version it would make.
+            With the version that the note would create.
         """
         config = self._notes.config
         if note["base"] != config.version:
@@ -102,7 +102,7 @@
         return Verdict(version=version)
 
     async def find_accepted(self, note_id):
-        """Tell what became of the note with this id.
+        """Look up whether the note with this id was accepted.
 
         Returns
         -------
@@ -111,26 +111,26 @@
         """
         row = await self._table.read(rows.id_key(note_id))
         if isinstance(row, kinds.Failure):
-            return _unknown(row)
+            return _unknown_verdict(row)
         return Verdict(version=row.value and row.value["version"])
 
     async def _earlier(self, note):
-        """Return the verdict on a note whose id is taken, or None."""
+        """Return the verdict if the note's id is already in use, or None."""
         verdict = await self.find_accepted(note["id"])
         if verdict.version is None:
             return verdict if verdict.failure else None
         row = await self._table.read(rows.note_key(verdict.version))
         if isinstance(row, kinds.Failure):
-            return _unknown(row)
+            return _unknown_verdict(row)
         if row.value is None or row.value["note"] == note:
             return verdict
-        return _conflict(note, row.value["note"], verdict.version)
+        return _conflict_verdict(note, row.value["note"], verdict.version)
 
-    async def _lost(self, note):
+    async def _outdated(self, note):
         version = note["base"] + 1
         row = await self._table.read(rows.note_key(version))
         if isinstance(row, kinds.Failure):
-            return _unknown(row)
+            return _unknown_verdict(row)
         if row.value is None:
             return Verdict(
                 failure=kinds.Failure(
@@ -139,17 +139,18 @@
                     f"latest is {self._notes.config.version}",
                 )
             )
-        return _conflict(note, row.value["note"], version)
+        return _conflict_verdict(note, row.value["note"], version)
 
     async def _write(self, note):
-        """Write until it is certain what became of the note.
+        """Write a note, retrying until its outcome is known.
 
         Notes
         -----
-        The answer to a write can be lost after the write took effect, or
-        before it will.  Reading back alone would take the second for a
-        refusal; so when nothing is found the same write is sent again:
-        both are conditional on the same rows, and at most one holds.
+        A write whose response is lost may have taken effect already, or
+        may do so later.  In the latter case, a read alone would suggest
+        that the write had failed.  If the read finds no row, the same
+        write is therefore sent again: both are conditional on the same
+        rows, so at most one of them succeeds.
         """
         version = note["base"] + 1
         accepted = rows.Accepted(note=note, at=time.time())
@@ -160,24 +161,24 @@
             ),
         )
         failure = None
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             result = await self._table.write(*writes)
             if isinstance(result, tables.Written):
                 self._notes.advance(version, accepted)
                 return Verdict(version=version)
             if isinstance(result, tables.Conflict):
-                await self._notes.follow()
-                return await self._earlier(note) or await self._lost(note)
+                await self._notes.catch_up()
+                return await self._earlier(note) or await self._outdated(note)
             failure = result
             earlier = await self._earlier(note)
             if earlier is not None and earlier.failure is None:
                 self._notes.advance(version, accepted)
                 return earlier
-            await asyncio.sleep(PAUSE_S * (attempt + 1))
-        return _unknown(failure)
+            await asyncio.sleep(RETRY_DELAY_S * (attempt + 1))
+        return _unknown_verdict(failure)
 
 
-def _unknown(failure):
+def _unknown_verdict(failure):
     reason = (
         f"the store is away ({failure.reason}); "
         "unknown, ask again with `note status`"
@@ -187,7 +188,7 @@
     )
 
 
-def _conflict(note, winner, version):
+def _conflict_verdict(note, winner, version):
     reason = (
         f"version {version} is note {winner['id']!r} of {winner['author']!r}"
     )
--- a/sycamoreshed/notes/history.py
+++ b/sycamoreshed/notes/history.py
@@ -1,4 +1,4 @@
-"""What was accepted before: single versions, and who wrote them."""
+"""History of accepted notes: their authors and past configurations."""
 
 from sycamoreshed.config import changes
 from sycamoreshed.config import state
@@ -8,7 +8,7 @@
 
 __all__ = ["History"]
 
-PAGE = 500
+PAGE_SIZE = 500
 
 
 class History:
@@ -32,24 +32,26 @@
         Returns
         -------
         list of dict, or Failure
-            Version, id, author, wall clock and touched sections.
+            Version, id, author, wall-clock time and touched sections.
         """
-        await self._notes.follow()
+        await self._notes.catch_up()
         first = max(self._notes.config.version - limit, 0)
-        found = await self._table.scan(
-            rows.PREFIX, after=rows.note_key(first), limit=limit
+        note_rows = await self._table.scan(
+            rows.NOTE_PREFIX, after=rows.note_key(first), limit=limit
         )
-        if isinstance(found, kinds.Failure):
-            return found
+        if isinstance(note_rows, kinds.Failure):
+            return note_rows
         return [
             {
                 "version": rows.version_of(row.key),
                 "note": row.value["note"]["id"],
                 "author": row.value["note"]["author"],
                 "at": row.value["at"],
-                "sections": sorted(changes.touched(row.value["note"])),
+                "sections": sorted(
+                    changes.touched_sections(row.value["note"])
+                ),
             }
-            for row in found
+            for row in note_rows
         ]
 
     async def config_at(self, version):
@@ -58,33 +60,35 @@
         Returns
         -------
         Config or Failure
-            A failure of kind ``note-invalid`` if there is none such, or
-            it was swept.
+            A failure of kind ``note-invalid`` if the version does not
+            exist or its notes were deleted.
         """
         if version == self._notes.config.version:
             return self._notes.config
-        config = await self._snapshots.newest(at=version)
+        config = await self._snapshots.load_latest(max_version=version)
         if isinstance(config, kinds.Failure):
             return config
         config = config or state.EMPTY
         while config.version < version:
-            found = await self._table.scan(
-                rows.PREFIX, after=rows.note_key(config.version), limit=PAGE
+            note_rows = await self._table.scan(
+                rows.NOTE_PREFIX,
+                after=rows.note_key(config.version),
+                limit=PAGE_SIZE,
             )
-            if isinstance(found, kinds.Failure):
-                return found
-            reached = _replay(config, found, version)
-            if reached.version == config.version:
+            if isinstance(note_rows, kinds.Failure):
+                return note_rows
+            next_config = _replay(config, note_rows, version)
+            if next_config.version == config.version:
                 return kinds.Failure(
                     kinds.Kind.NOTE_INVALID,
                     f"version {version} is not there, or not any more",
                 )
-            config = reached
+            config = next_config
         return config
 
 
-def _replay(config, found, version):
-    for row in found:
+def _replay(config, note_rows, version):
+    for row in note_rows:
         is_next = row.key == rows.note_key(config.version + 1)
         if config.version == version or not is_next:
             break
--- a/sycamoreshed/notes/notes.py
+++ b/sycamoreshed/notes/notes.py
@@ -1,4 +1,4 @@
-"""Release notes: the configuration in force here, which only goes up."""
+"""The current configuration of an instance; its version never decreases."""
 
 import collections
 
@@ -11,13 +11,14 @@
 
 __all__ = ["Notes"]
 
-# Notes kept to bring peers up to date; older peers get all of it.
-RECENT = 200
-PAGE = 500
+# Recent notes are kept to update peers; a peer that is further behind
+# fetches the full configuration.
+MAX_RECENT_NOTES = 200
+PAGE_SIZE = 500
 
 
 class Notes:
-    """The configuration in force on this instance.
+    """The current configuration of this instance.
 
     Parameters
     ----------
@@ -31,28 +32,28 @@
         self._config = state.EMPTY
         self._recent = collections.OrderedDict()
         self._on_change = []
-        self._settled = False
+        self._synced = False
 
     @property
     def config(self):
-        """The `Config` in force; its version only grows."""
+        """The current `Config`; its version never decreases."""
         return self._config
 
     @property
     def is_ready(self):
-        """Whether an accepted configuration is known and may be served."""
-        return self._settled and self._config.version > 0
+        """Whether there is an accepted configuration that may be served."""
+        return self._synced and self._config.version > 0
 
-    def settle(self):
-        """Tell that those in reach have been asked for what is newest."""
-        self._settled = True
+    def mark_synced(self):
+        """Record that reachable peers were asked for the latest version."""
+        self._synced = True
 
     def on_change(self, func):
-        """Call a function without arguments after each change."""
+        """Register a function to call, without arguments, on each change."""
         self._on_change.append(func)
 
     def advance(self, version, accepted):
-        """Bring the note that makes `version` into force.
+        """Apply the note that creates `version`.
 
         Parameters
         ----------
@@ -62,26 +63,27 @@
         Returns
         -------
         bool
-            False if it is not the next one: an old message changes
-            nothing, and after a gap the notes between come first.
+            False if the note was not applied.  Only the next version is:
+            old messages have no effect, and after a gap the notes in
+            between must be applied first.
         """
         if version != self._config.version + 1:
             return False
         try:
             config = state.apply_note(self._config, accepted["note"])
         except exceptions.CheckError as err:
-            # Accepted notes were checked on the same version, so this
-            # is a fault of a program; the version in force stays.
+            # The note was validated against the same version when it was
+            # accepted, so this is a bug; the current version is kept.
             logger.bind(version=version).error("cannot apply: {}", err)
             return False
         self._recent[version] = accepted
-        while len(self._recent) > RECENT:
+        while len(self._recent) > MAX_RECENT_NOTES:
             self._recent.popitem(last=False)
         self._install(config, accepted["note"]["id"])
         return True
 
     def replace(self, config):
-        """Bring a whole configuration into force, if it is newer.
+        """Install a full configuration if it is newer.
 
         Returns
         -------
@@ -94,60 +96,63 @@
         return True
 
     def updates_since(self, version):
-        """Return what brings a peer up to date.
+        """Return the notes after a version, to update a peer.
 
         Returns
         -------
         dict
-            With ``version`` and ``notes`` in order, or without these if
-            the peer has to fetch the whole configuration.
+            With ``version`` and ``notes``, in order.  ``notes`` is absent
+            if the peer has to fetch the full configuration.
         """
-        own = self._config.version
-        missing = range(version + 1, own + 1)
+        current = self._config.version
+        missing = range(version + 1, current + 1)
         if all(item in self._recent for item in missing):
             notes = [self._recent[item] for item in missing]
-            return {"version": own, "notes": notes}
-        return {"version": own}
+            return {"version": current, "notes": notes}
+        return {"version": current}
 
-    async def follow(self):
-        """Read notes after the version in force and apply them.
+    async def catch_up(self):
+        """Read the notes after the current version and apply them.
 
         Returns
         -------
         Failure or None
         """
         while True:
-            found = await self._read_page()
-            if isinstance(found, kinds.Failure):
-                return found
-            for row in found:
+            page = await self._read_page()
+            if isinstance(page, kinds.Failure):
+                return page
+            for row in page:
                 self.advance(rows.version_of(row.key), row.value)
-            if len(found) < PAGE:
+            if len(page) < PAGE_SIZE:
                 return None
 
     async def load(self):
-        """Load the newest snapshot if it is newer, then follow.
+        """Load the latest snapshot if it is newer, then catch up.
 
         Returns
         -------
         Failure or None
         """
-        config = await self._snapshots.newest()
+        config = await self._snapshots.load_latest()
         if isinstance(config, kinds.Failure):
             return config
         if config is not None:
             self.replace(config)
-        return await self.follow()
+        return await self.catch_up()
 
     async def _read_page(self):
         after = rows.note_key(self._config.version)
-        found = await self._table.scan(rows.PREFIX, after=after, limit=PAGE)
-        if isinstance(found, kinds.Failure) or not found:
-            return found
-        if rows.version_of(found[0].key) == self._config.version + 1:
-            return found
-        # The notes in between were swept: only a snapshot leads there.
-        config = await self._snapshots.newest()
+        page = await self._table.scan(
+            rows.NOTE_PREFIX, after=after, limit=PAGE_SIZE
+        )
+        if isinstance(page, kinds.Failure) or not page:
+            return page
+        if rows.version_of(page[0].key) == self._config.version + 1:
+            return page
+        # The notes in between were deleted; only a snapshot can close
+        # the gap.
+        config = await self._snapshots.load_latest()
         if isinstance(config, kinds.Failure):
             return config
         if config is not None and self.replace(config):
--- a/sycamoreshed/notes/rows.py
+++ b/sycamoreshed/notes/rows.py
@@ -1,4 +1,4 @@
-"""Rows and objects in which accepted notes are kept."""
+"""Keys and formats of the rows and objects that store accepted notes."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 __all__ = [
     "Accepted",
-    "POINTER",
+    "POINTER_KEY",
     "Pointer",
     "id_key",
     "note_key",
@@ -14,50 +14,50 @@
     "version_of",
 ]
 
-PREFIX = "notes/"
-POINTER = "notes-snapshots"
+NOTE_PREFIX = "notes/"
+POINTER_KEY = "notes-snapshots"
 
 
 class Accepted(typing.TypedDict):
-    """An accepted note; ``at`` is the wall clock in seconds."""
+    """An accepted note; ``at`` is its wall-clock time in seconds."""
 
     note: schema.Note
     at: float
 
 
 class Pointer(typing.TypedDict):
-    """The row that names the snapshots there are, oldest first."""
+    """The row that lists the versions of stored snapshots, oldest first."""
 
     versions: list[int]
 
 
 def note_key(version):
-    """Return the key of the row of the note that makes `version`.
+    """Return the key of the row of the note that creates `version`.
 
     Examples
     --------
     >>> note_key(7)
     'notes/0000000007'
     """
-    return f"{PREFIX}{version:010d}"
+    return f"{NOTE_PREFIX}{version:010d}"
 
 
 def version_of(key):
-    """Return the version of a row's key; the inverse of `note_key`."""
-    return int(key.removeprefix(PREFIX))
+    """Return the version encoded in a row key; inverse of `note_key`."""
+    return int(key.removeprefix(NOTE_PREFIX))
 
 
 def id_key(note_id):
-    """Return the key of the row that tells which version a note made.
+    """Return the key of the row that maps a note to its version.
 
     Notes
     -----
-    These rows are kept when old notes are swept, so that a note applied
-    again after months is still known.
+    These rows are kept when old notes are deleted, so that a note that is
+    applied again months later is still recognized.
     """
     return f"note-ids/{note_id}"
 
 
 def object_name(version, part):
-    """Return the name of a part of the snapshot of a version."""
+    """Return the object name of one part of the snapshot of a version."""
     return f"config/{version:010d}/{part}"
--- a/sycamoreshed/notes/snapshots.py
+++ b/sycamoreshed/notes/snapshots.py
@@ -1,8 +1,9 @@
 """Snapshots of the configuration in the object store.
 
-Every `EVERY` versions the instance that accepted the last note stores
-the whole configuration and then raises a pointer row in the table.  A
-starting instance loads the newest snapshot and the notes after it.
+Every `SNAPSHOT_INTERVAL` versions, the instance that accepted the last
+note stores the full configuration and then adds it to a pointer row in the
+table.  A starting instance loads the latest snapshot and the notes after
+it.
 """
 
 from loguru import logger
@@ -14,23 +15,24 @@
 from sycamoreshed.kernel import kernel
 from sycamoreshed.notes import rows
 
-__all__ = ["Snapshots", "after_storing"]
+__all__ = ["Snapshots", "add_snapshot"]
 
-EVERY = 50
-# With those before swept, notes reach back some three days.
-MOST_SNAPSHOTS = 40
-MOST_SWEPT = 100
-MOST_PARTS = 100
+SNAPSHOT_INTERVAL = 50
+# Notes up to the oldest of these are deleted; the rest cover about three
+# days.
+MAX_SNAPSHOTS = 40
+MAX_DELETED_NOTES = 100
+MAX_PARTS = 100
 
 
-def after_storing(pointer, version):
-    """Return the pointer after a snapshot, and the snapshots to delete.
+def add_snapshot(pointer, version):
+    """Add a snapshot to the pointer and select the snapshots to delete.
 
     Parameters
     ----------
     pointer : Pointer
     version : int
-        Of the stored snapshot.
+        Version of the stored snapshot.
 
     Returns
     -------
@@ -38,21 +40,21 @@
 
     Examples
     --------
-    >>> after_storing({"versions": [50]}, 100)
+    >>> add_snapshot({"versions": [50]}, 100)
     ({'versions': [50, 100]}, [])
-    >>> after_storing({"versions": [50, 100]}, 60)
+    >>> add_snapshot({"versions": [50, 100]}, 60)
     ({'versions': [50, 100]}, [])
     """
     versions = pointer["versions"]
     if versions and version <= versions[-1]:
         return pointer, []
     versions = [*versions, version]
-    kept = versions[-MOST_SNAPSHOTS:]
-    return rows.Pointer(versions=kept), versions[: -len(kept)]
+    retained = versions[-MAX_SNAPSHOTS:]
+    return rows.Pointer(versions=retained), versions[: -len(retained)]
 
 
 class Snapshots:
-    """Stores, loads and sweeps snapshots.
+    """Stores, loads and deletes snapshots.
 
     Parameters
     ----------
@@ -63,24 +65,28 @@
     def __init__(self, *, table, objects):
         self._table = table
         self._objects = objects
-        self._newest = 0
+        self._latest = 0
         self._storing = False
 
-    async def newest(self, *, at=None):
-        """Load the newest snapshot, or the newest up to version `at`.
+    async def load_latest(self, *, max_version=None):
+        """Load the latest snapshot, optionally up to `max_version`.
 
         Returns
         -------
         Config, None or Failure
             None if there is no snapshot.
         """
-        row = await self._table.read(rows.POINTER)
+        row = await self._table.read(rows.POINTER_KEY)
         if isinstance(row, kinds.Failure):
             return row
         versions = row.value["versions"] if row.value else []
         if versions:
-            self._newest = max(self._newest, versions[-1])
-        usable = [item for item in versions if at is None or item <= at]
+            self._latest = max(self._latest, versions[-1])
+        usable = [
+            item
+            for item in versions
+            if max_version is None or item <= max_version
+        ]
         if not usable:
             return None
         return await self._load(usable[-1])
@@ -91,11 +97,12 @@
         Returns
         -------
         bool
-            Whether one was stored.
+            Whether a snapshot was stored.
         """
-        if self._storing or config.version - self._newest < EVERY:
+        if self._storing or config.version - self._latest < SNAPSHOT_INTERVAL:
             return False
-        # Notes accepted while one is being stored would each store one.
+        # Otherwise every note accepted while a snapshot is being stored
+        # would start another.
         self._storing = True
         try:
             return await self._store_if_due(config)
@@ -103,33 +110,33 @@
             self._storing = False
 
     async def _store_if_due(self, config):
-        row = await self._table.read(rows.POINTER)
+        row = await self._table.read(rows.POINTER_KEY)
         if isinstance(row, kinds.Failure):
             return False
         pointer = row.value or rows.Pointer(versions=[])
         if pointer["versions"]:
-            self._newest = pointer["versions"][-1]
-        if config.version - self._newest < EVERY:
+            self._latest = pointer["versions"][-1]
+        if config.version - self._latest < SNAPSHOT_INTERVAL:
             return False
         if not await self._store(config):
             return False
-        changed, dropped = after_storing(pointer, config.version)
-        # Only once the object is there: a pointer to none would leave
-        # starting instances without a configuration.
+        new_pointer, expired = add_snapshot(pointer, config.version)
+        # Written only after the object: a pointer to a missing object
+        # would leave starting instances without a configuration.
         result = await self._table.write(
-            tables.Write(rows.POINTER, changed, row.version)
+            tables.Write(rows.POINTER_KEY, new_pointer, row.version)
         )
         if isinstance(result, tables.Conflict):
-            # Another instance was faster; nothing would name this one,
-            # and so nothing would ever delete it.
-            named = (result.rows[0].value or {}).get("versions", ())
-            if config.version not in named:
+            # Another instance wrote the pointer first.  A snapshot that
+            # the pointer does not list would never be deleted.
+            listed = (result.rows[0].value or {}).get("versions", ())
+            if config.version not in listed:
                 await self._delete(config.version)
         if not isinstance(result, tables.Written):
             return False
-        self._newest = config.version
+        self._latest = config.version
         logger.bind(version=config.version).info("snapshot stored")
-        await self._sweep(changed["versions"][0], dropped)
+        await self._delete_expired(new_pointer["versions"][0], expired)
         return True
 
     async def _load(self, version):
@@ -150,37 +157,40 @@
 
     async def _store(self, config):
         for number in range(state.count_parts(config)):
-            stored = await self._objects.put(
+            result = await self._objects.put(
                 rows.object_name(config.version, number),
                 state.document_part(config, number),
             )
-            if isinstance(stored, kinds.Failure):
+            if isinstance(result, kinds.Failure):
                 return False
         return True
 
     async def _delete(self, version):
-        for number in range(MOST_PARTS):
+        for number in range(MAX_PARTS):
             name = rows.object_name(version, number)
             if await self._objects.delete(name) is not True:
                 return
 
-    async def _sweep(self, oldest, dropped):
-        """Delete dropped snapshots and notes up to the oldest kept.
+    async def _delete_expired(self, oldest, expired):
+        """Delete expired snapshots, and notes up to the oldest retained.
 
         Notes
         -----
-        At most `MOST_SWEPT` notes go at a time, so that a sweep is never
-        a burst of writes; as many come between two snapshots at most.
+        At most `MAX_DELETED_NOTES` notes are deleted at a time, to avoid
+        a burst of writes.  No more than that are accepted between two
+        snapshots.
         """
-        for version in dropped:
+        for version in expired:
             await self._delete(version)
-        found = await self._table.scan(rows.PREFIX, limit=MOST_SWEPT)
-        if isinstance(found, kinds.Failure):
+        note_rows = await self._table.scan(
+            rows.NOTE_PREFIX, limit=MAX_DELETED_NOTES
+        )
+        if isinstance(note_rows, kinds.Failure):
             return
         writes = [
             tables.Write(row.key, None, row.version)
-            for row in found
-            if rows.version_of(row.key) <= oldest and dropped
+            for row in note_rows
+            if rows.version_of(row.key) <= oldest and expired
         ]
         if writes:
             await self._table.write(*writes)
--- a/sycamoreshed/notes/sync.py
+++ b/sycamoreshed/notes/sync.py
@@ -1,8 +1,8 @@
-"""How accepted notes reach every instance.
+"""Distribution of accepted notes to all instances.
 
-Peers tell each other the version in force with each message; who hears of
-a higher one fetches it from that peer at once.  The table is asked often
-by a few instances of each zone and seldom by the rest.
+Each gossip message carries the sender's current version; an instance that
+receives a higher one fetches it from that peer at once.  A few instances
+of each zone poll the table frequently, the others rarely.
 """
 
 import asyncio
@@ -17,29 +17,30 @@
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import kernel
 from sycamoreshed.membership import rendezvous
-from sycamoreshed.notes import notes as following
+from sycamoreshed.notes import notes as notes_module
 from sycamoreshed.notes import rows
 
 __all__ = ["ConfigSync"]
 
-POLLERS = 2
-OFTEN_S = 1.0
-SELDOM_S = 30.0
-PULL_S = 2.0
-# A starting instance waits this long for a peer's answer before it is
-# ready: the table may answer with what was, and a peer knows better.
+POLLERS_PER_ZONE = 2
+FREQUENT_POLL_S = 1.0
+INFREQUENT_POLL_S = 30.0
+FETCH_TIMEOUT_S = 2.0
+# A starting instance waits up to this long for a message from a peer before
+# it becomes ready: reads of the table may be stale, and a peer may have a
+# newer version.
 INITIAL_SYNC_TIMEOUT_S = 2.0
 
 
-class _Heard(typing.NamedTuple):
-    """A version that is fetched, and the peer that told of it."""
+class _Announcement(typing.NamedTuple):
+    """The version to fetch, and the peer that announced it."""
 
     version: int
     peer: str
 
 
 class ConfigSync:
-    """Keeps the configuration in force up to date.
+    """Keeps the configuration of this instance up to date.
 
     Parameters
     ----------
@@ -59,88 +60,91 @@
         self._notes = notes
         self._gossip = gossip
         self._session = session
-        self._bytes = metrics.control_bytes.labels("notes")
+        self._control_bytes = metrics.control_bytes.labels("notes")
         self._clock = clock
         self._spawn = spawn
-        self._pulling = False
-        self._heard = _Heard(0, "")
-        self._told = asyncio.Event()
+        self._is_fetching = False
+        self._announcement = _Announcement(0, "")
+        self._peer_synced = asyncio.Event()
         notes.on_change(gossip.wake)
-        gossip.hang("version", write=self._write, read=self._read)
+        gossip.hang("version", write=self._own_version, read=self._on_version)
 
     async def poll(self):
-        """Ask the table again and again."""
+        """Poll the table for new notes."""
         while True:
-            seconds = OFTEN_S if self._is_poller() else SELDOM_S
-            failure = await self._notes.follow()
+            seconds = (
+                FREQUENT_POLL_S if self._is_poller() else INFREQUENT_POLL_S
+            )
+            failure = await self._notes.catch_up()
             if failure is not None:
-                seconds = max(seconds, 2 * OFTEN_S)
+                seconds = max(seconds, 2 * FREQUENT_POLL_S)
             await asyncio.sleep(seconds * random.uniform(0.8, 1.2))
 
-    async def settle(self):
-        """Let the instance be ready once a peer was heard, or none is."""
+    async def wait_for_peer(self):
+        """Allow readiness after a first sync with a peer, or a timeout."""
         if self._gossip.has_seeds:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(
-                    self._told.wait(), INITIAL_SYNC_TIMEOUT_S
+                    self._peer_synced.wait(), INITIAL_SYNC_TIMEOUT_S
                 )
-        self._notes.settle()
+        self._notes.mark_synced()
 
     def _is_poller(self):
         zone = self._settings.zone
         names = [item.name for item in self._gossip.view.near(self._clock())]
-        chosen = rendezvous.top(f"poll {zone}", names, POLLERS)
-        return self._settings.instance in chosen or not names
+        pollers = rendezvous.top(f"poll {zone}", names, POLLERS_PER_ZONE)
+        return self._settings.instance in pollers or not names
 
-    def _write(self, _name, _now):
+    def _own_version(self, _name, _now):
         return self._notes.config.version
 
-    def _read(self, version, name, _now):
+    def _on_version(self, version, name, _now):
         if version <= self._notes.config.version:
-            self._told.set()
+            self._peer_synced.set()
             return
-        # Who tells it now can be reached; whoever told more before, and
-        # could not be fetched from, may be gone.
-        if not self._pulling or version > self._heard.version:
-            self._heard = _Heard(version, name)
-        if not self._pulling:
-            self._pulling = True
-            self._spawn(self._pull(), name="pull notes")
-
-    async def _pull(self):
-        """Fetch what is newer from a peer and bring it into force.
+        # The sender of this message is reachable.  A peer that announced
+        # a higher version earlier, and from which the fetch failed, may be
+        # gone.
+        if not self._is_fetching or version > self._announcement.version:
+            self._announcement = _Announcement(version, name)
+        if not self._is_fetching:
+            self._is_fetching = True
+            self._spawn(self._fetch_updates(), name="pull notes")
+
+    async def _fetch_updates(self):
+        """Fetch newer notes from a peer and apply them.
 
         Notes
         -----
-        Of a note that is accepted while an earlier one is fetched one
-        may hear meanwhile.  Forgotten then, it would come with the next
-        message only, seconds later; so what was heard last is compared
-        again after each fetch.
+        A newer version may be announced while an earlier one is being
+        fetched.  If it were ignored, it would be fetched only on the next
+        message, seconds later; the last announcement is therefore
+        compared again after each fetch.
         """
         try:
-            while await self._come_closer():
+            while await self._fetch_once():
                 pass
         finally:
-            self._pulling = False
-            self._told.set()
+            self._is_fetching = False
+            self._peer_synced.set()
 
-    async def _come_closer(self):
-        """Fetch once; return whether there is more, and it went well."""
+    async def _fetch_once(self):
+        """Fetch once; return whether this made progress and more remains."""
         before = self._notes.config.version
-        address = self._gossip.address_of(self._heard.peer)
+        address = self._gossip.address_of(self._announcement.peer)
         if address is None:
             return False
-        await self._fetch(address)
-        return before < self._notes.config.version < self._heard.version
+        await self._fetch_notes(address)
+        return before < self._notes.config.version < self._announcement.version
 
-    async def _fetch(self, address):
+    async def _fetch_notes(self, address):
         version = self._notes.config.version
         body = await self._get(address, f"/control/notes?after={version}")
         if body is None:
             return
         try:
             if "notes" not in body:
-                await self._fetch_whole(address, body["version"])
+                await self._fetch_config(address, body["version"])
                 return
             accepted = msgspec.convert(body["notes"], list[rows.Accepted])
         except msgspec.ValidationError:
@@ -148,14 +152,14 @@
         for number, item in enumerate(accepted, version + 1):
             self._notes.advance(number, item)
 
-    async def _fetch_whole(self, address, version):
-        """Fetch a configuration in parts.
+    async def _fetch_config(self, address, version):
+        """Fetch a full configuration in parts.
 
         Notes
         -----
-        If the peer comes to a newer version in between, its parts are of
-        two versions; it then refuses, and its next message starts this
-        again.
+        If the peer moves to a newer version in between, it rejects
+        requests for the remaining parts, so that parts of two versions
+        are never mixed; its next message starts the fetch again.
         """
         parts = []
         while not parts or len(parts) < parts[0]["parts"]:
@@ -168,11 +172,11 @@
 
     async def _get(self, address, path):
         reply = await web.fetch(
-            self._session, "GET", address, path, timeout=PULL_S
+            self._session, "GET", address, path, timeout=FETCH_TIMEOUT_S
         )
         if isinstance(reply, kinds.Failure) or reply.status != 200:
             return None
-        self._bytes.inc(reply.size)
+        self._control_bytes.inc(reply.size)
         return reply.body
 
 
@@ -180,20 +184,20 @@
     "notes", needs=("gossip", "metrics", "snapshots", "table", "web")
 )
 async def notes(core):
-    """Provide the configuration in force, and follow accepted notes."""
-    part = following.Notes(
+    """Provide the current configuration and keep it up to date."""
+    current_notes = notes_module.Notes(
         table=core.part("table"), snapshots=core.part("snapshots")
     )
     config_sync = ConfigSync(
         settings=core.settings,
-        notes=part,
+        notes=current_notes,
         gossip=core.part("gossip"),
         session=core.part("web"),
         metrics=core.part("metrics"),
         clock=core.clock,
         spawn=core.spawn,
     )
-    await part.load()
+    await current_notes.load()
     core.spawn(config_sync.poll(), name="notes")
-    core.spawn(config_sync.settle(), name="settle notes")
-    yield part
+    core.spawn(config_sync.wait_for_peer(), name="settle notes")
+    yield current_notes
--- a/sycamoreshed/notes/tests/fakes.py
+++ b/sycamoreshed/notes/tests/fakes.py
@@ -1,19 +1,20 @@
-"""A table and an object store in memory, with a fault for each call."""
+"""In-memory table and object store with fault injection."""
 
 from sycamoreshed.adapters import table as tables
 from sycamoreshed.errors import kinds
 
 __all__ = ["FakeObjects", "FakeTable"]
 
-AWAY = kinds.Failure(kinds.Kind.STORE_AWAY, "away", sent=True)
+UNAVAILABLE = kinds.Failure(kinds.Kind.STORE_AWAY, "away", sent=True)
 
 
 class FakeTable:
-    """Rows in memory.  ``faults`` are used up one by each call.
+    """In-memory table; each call consumes one entry of ``faults``.
 
-    ``ok``; ``refused``: no effect and known so; ``down``: no effect and
-    not known so; ``lost``: effect without answer; ``late``: no effect
-    now, but before the next call; ``stale``: reads show no rows.
+    ``ok``: no fault; ``refused``: no effect, and the caller can tell;
+    ``down``: no effect, outcome unknown to the caller; ``lost``: takes
+    effect without a response; ``late``: no response, takes effect just
+    before the next call; ``stale``: reads return no rows.
     """
 
     def __init__(self):
@@ -24,17 +25,17 @@
         self._late = None
 
     async def read(self, key):
-        fault = self._begin("read")
+        fault = self._next_fault("read")
         if fault not in ("ok", "stale"):
-            return AWAY
+            return UNAVAILABLE
         if fault == "stale" or key not in self.rows:
             return tables.Row(key, None, tables.ABSENT)
         return tables.Row(key, *self.rows[key])
 
     async def scan(self, prefix, *, after="", limit=1000):
-        fault = self._begin("scan")
+        fault = self._next_fault("scan")
         if fault not in ("ok", "stale"):
-            return AWAY
+            return UNAVAILABLE
         if fault == "stale":
             return []
         keys = sorted(key for key in self.rows if key.startswith(prefix))
@@ -42,18 +43,18 @@
         return [tables.Row(key, *self.rows[key]) for key in keys]
 
     async def write(self, *writes):
-        fault = self._begin("write")
+        fault = self._next_fault("write")
         if fault == "refused":
-            return AWAY._replace(sent=False)
+            return UNAVAILABLE._replace(sent=False)
         if fault == "down":
-            return AWAY
+            return UNAVAILABLE
         if fault == "late":
             self._late = writes
-            return AWAY
+            return UNAVAILABLE
         result = self._put(writes)
-        return AWAY if fault == "lost" else result
+        return UNAVAILABLE if fault == "lost" else result
 
-    def _begin(self, call):
+    def _next_fault(self, call):
         if self._late:
             self._put(self._late)
             self._late = None
@@ -77,22 +78,22 @@
 
 
 class FakeObjects:
-    """Objects in memory."""
+    """In-memory object store."""
 
     def __init__(self):
-        self.held = {}
-        self.away = False
+        self.stored = {}
+        self.is_unavailable = False
 
     async def get(self, name):
-        return AWAY if self.away else self.held.get(name)
+        return UNAVAILABLE if self.is_unavailable else self.stored.get(name)
 
     async def put(self, name, value):
-        if self.away:
-            return AWAY
-        self.held[name] = value
+        if self.is_unavailable:
+            return UNAVAILABLE
+        self.stored[name] = value
         return True
 
     async def delete(self, name):
-        if self.away:
-            return AWAY
-        return self.held.pop(name, None) is not None
+        if self.is_unavailable:
+            return UNAVAILABLE
+        return self.stored.pop(name, None) is not None
--- a/sycamoreshed/notes/tests/test_acceptance.py
+++ b/sycamoreshed/notes/tests/test_acceptance.py
@@ -10,13 +10,17 @@
 from testkit import builders
 
 
-def instance(table, objects=None):
-    """Return an acceptor, its notes and its snapshots."""
+def make_instance(table, objects=None):
+    """Return the acceptor, notes and snapshots of one instance."""
     store = snapshots.Snapshots(
         table=table, objects=objects or fakes.FakeObjects()
     )
-    held = notes.Notes(table=table, snapshots=store)
-    return acceptance.Acceptor(table=table, notes=held), held, store
+    instance_notes = notes.Notes(table=table, snapshots=store)
+    return (
+        acceptance.Acceptor(table=table, notes=instance_notes),
+        instance_notes,
+        store,
+    )
 
 
 def team_note(base, name="t1", rate=5, author="ana"):
@@ -25,12 +29,13 @@
     )
 
 
-# An acceptance scans, reads the id's row, and writes; after a lost answer
-# it reads the id's row (and, if there, the note's) and writes again.
+# Accepting a note scans the table, reads the row of the id, and writes.
+# After a lost response, it reads the row of the id (and that of the note,
+# if the id exists) and writes again.
 FAULTS = [
     ("no fault", [], "accepted"),
-    ("scan away", ["down"], "unknown"),
-    ("read away", ["ok", "down"], "unknown"),
+    ("scan unavailable", ["down"], "unknown"),
+    ("read unavailable", ["ok", "down"], "unknown"),
     ("stale scan and read", ["stale", "stale"], "accepted"),
     ("write refused once", ["ok", "ok", "refused"], "accepted"),
     ("write lost before effect", ["ok", "ok", "down"], "accepted"),
@@ -41,8 +46,12 @@
         ["ok", "ok", "lost", "stale"],
         "accepted",
     ),
-    ("effect, then away", ["ok", "ok", "lost"] + ["down"] * 9, "unknown"),
-    ("away at the write", ["ok", "ok"] + ["down"] * 9, "unknown"),
+    (
+        "effect, then unavailable",
+        ["ok", "ok", "lost"] + ["down"] * 9,
+        "unknown",
+    ),
+    ("unavailable at the write", ["ok", "ok"] + ["down"] * 9, "unknown"),
 ]
 
 
@@ -52,14 +61,14 @@
     ids=[row[0] for row in FAULTS],
 )
 async def test_acceptance_under_faults(monkeypatch, faults, expected):
-    """The store is slow, away, or its answer is lost.
+    """The store is slow or unavailable, or its response is lost.
 
-    An operator who is told the wrong thing applies a note twice or
-    believes in one that never came into force.
+    If a wrong outcome is reported, the operator applies a note twice or
+    relies on one that never took effect.
     """
-    monkeypatch.setattr(acceptance, "PAUSE_S", 0)
+    monkeypatch.setattr(acceptance, "RETRY_DELAY_S", 0)
     table = fakes.FakeTable()
-    acceptor, held, _ = instance(table)
+    acceptor, instance_notes, _ = make_instance(table)
     table.faults = list(faults)
     note = team_note(0)
     verdict = await acceptor.accept(note)
@@ -68,21 +77,22 @@
         table.faults = []
         verdict = await acceptor.accept(note)
     assert verdict == acceptance.Verdict(version=1)
-    await held.follow()
-    assert held.config.version == 1
-    assert [key for key in table.rows if key.startswith(rows.PREFIX)] == [
+    await instance_notes.catch_up()
+    assert instance_notes.config.version == 1
+    assert [key for key in table.rows if key.startswith(rows.NOTE_PREFIX)] == [
         rows.note_key(1)
     ]
 
 
-async def test_loser_of_a_race_hears_the_winner_and_what_differs():
-    """Two operators write on the same version.
+async def test_conflict_reports_the_winner_and_the_differences():
+    """Two operators write notes based on the same version.
 
-    The loser has to know with whom to speak, and about what.
+    The operator of the rejected note needs to know whose note was accepted
+    and where the two differ.
     """
     table = fakes.FakeTable()
-    first, _, _ = instance(table)
-    second, _, _ = instance(table)
+    first, _, _ = make_instance(table)
+    second, _, _ = make_instance(table)
     winner = team_note(0, rate=5, author="bia")
     loser = builders.note(
         0,
@@ -100,9 +110,9 @@
     ]
 
 
-async def test_applying_again_is_harmless_also_after_later_notes():
+async def test_reapplying_is_idempotent_after_later_notes():
     table = fakes.FakeTable()
-    acceptor, held, _ = instance(table)
+    acceptor, instance_notes, _ = make_instance(table)
     note = team_note(0)
     await acceptor.accept(note)
     await acceptor.accept(team_note(1, "t2"))
@@ -113,7 +123,7 @@
     verdict = await acceptor.accept(other)
     assert verdict.failure.kind == kinds.Kind.NOTE_CONFLICT
     assert "another content" in verdict.failure.reason
-    assert held.config.version == 2
+    assert instance_notes.config.version == 2
 
 
 INVALID = [
@@ -154,9 +164,9 @@
 
 
 @pytest.mark.parametrize("parts, path", INVALID)
-async def test_refusal_names_the_path_and_writes_nothing(parts, path):
+async def test_rejection_names_the_path_and_writes_nothing(parts, path):
     table = fakes.FakeTable()
-    acceptor, held, _ = instance(table)
+    acceptor, instance_notes, _ = make_instance(table)
     spec = {"encoder-1": builders.endpoint_spec()}
     await acceptor.accept(builders.first_note(spec))
     await acceptor.accept(team_note(1))
@@ -165,12 +175,12 @@
     assert verdict.failure.kind == kinds.Kind.NOTE_INVALID
     assert path in verdict.failure.reason
     assert table.rows == before
-    assert held.config.version == 2
+    assert instance_notes.config.version == 2
 
 
-async def test_withdrawing_an_assigned_team_is_refused():
+async def test_withdrawing_an_assigned_team_is_rejected():
     table = fakes.FakeTable()
-    acceptor, _, _ = instance(table)
+    acceptor, _, _ = make_instance(table)
     await acceptor.accept(builders.first_note({}))
     stages = [{"name": "s", "service": "encoder"}]
     spec = {"deadline_ms": 1, "stages": stages, "teams": ["ilha"]}
@@ -182,7 +192,7 @@
     assert "pipelines.p" in verdict.failure.reason
 
 
-def test_next_version_shares_what_the_note_leaves_alone():
+def test_next_version_shares_untouched_sections():
     first = state.apply_note(state.EMPTY, builders.first_note({}))
     second = state.apply_note(first, team_note(1))
     assert second.endpoints is first.endpoints
--- a/sycamoreshed/notes/tests/test_notes.py
+++ b/sycamoreshed/notes/tests/test_notes.py
@@ -29,8 +29,8 @@
 )
 
 
-def through_parts(config):
-    """Return a configuration after its way through encoded parts."""
+def round_trip(config):
+    """Encode a configuration in parts, decode them and join them."""
     parts = []
     for number in range(state.count_parts(config)):
         raw = msgspec.json.encode(state.document_part(config, number))
@@ -38,151 +38,165 @@
     return state.join_parts(parts)
 
 
-def fresh_notes():
+def empty_notes():
     return notes.Notes(table=None, snapshots=None)
 
 
 @settings(derandomize=True)
 @given(EVENTS)
-def test_version_only_goes_up_and_content_follows_it(events):
-    """Old and new versions come from peers and the table in any order.
+def test_version_never_decreases_and_content_matches_it(events):
+    """Versions arrive from peers and the table in any order.
 
-    Going back would undo what an operator decided, without a word.
+    Going back to an older one would silently revert an accepted note.
     """
-    held = fresh_notes()
-    for what, version in events:
-        before = held.config.version
-        if what == "note":
-            held.advance(version, CHAIN[version - 1])
-        elif what == "config":
-            held.replace(VERSIONS[version])
+    instance_notes = empty_notes()
+    for kind, version in events:
+        before = instance_notes.config.version
+        if kind == "note":
+            instance_notes.advance(version, CHAIN[version - 1])
+        elif kind == "config":
+            instance_notes.replace(VERSIONS[version])
         else:
-            other = fresh_notes()
+            other = empty_notes()
             other.replace(VERSIONS[version])
             body = other.updates_since(before)
             if "notes" not in body:
-                held.replace(through_parts(other.config))
-        assert held.config.version >= before
-        assert held.config == VERSIONS[held.config.version]
+                instance_notes.replace(round_trip(other.config))
+        assert instance_notes.config.version >= before
+        assert instance_notes.config == VERSIONS[instance_notes.config.version]
 
 
-def test_a_peer_gets_the_notes_it_lacks_or_all_of_it():
-    held = fresh_notes()
+def test_peer_gets_missing_notes_or_must_fetch_everything():
+    instance_notes = empty_notes()
     for version, item in enumerate(CHAIN, 1):
-        held.advance(version, item)
-    assert held.updates_since(5) == {"version": 8, "notes": CHAIN[5:]}
-    assert held.updates_since(8) == {"version": 8, "notes": []}
-    loaded = fresh_notes()
+        instance_notes.advance(version, item)
+    assert instance_notes.updates_since(5) == {
+        "version": 8,
+        "notes": CHAIN[5:],
+    }
+    assert instance_notes.updates_since(8) == {"version": 8, "notes": []}
+    loaded = empty_notes()
     loaded.replace(VERSIONS[8])
     assert loaded.updates_since(5) == {"version": 8}
 
 
 @pytest.mark.parametrize("teams, count", [(0, 1), (3992, 1), (3993, 2)])
-def test_parts_joined_are_the_whole(teams, count):
+def test_joined_parts_equal_the_configuration(teams, count):
     added = {"teams": {f"n{i}": {"rate": i + 1} for i in range(teams)}}
     config = state.apply_note(VERSIONS[8], builders.note(8, added=added))
     assert state.count_parts(config) == count
-    assert through_parts(config) == config
-
-
-def test_ready_only_when_settled_and_with_a_configuration():
-    held = fresh_notes()
-    assert not held.is_ready
-    held.replace(VERSIONS[1])
-    assert not held.is_ready
-    held.settle()
-    assert held.is_ready
-    empty = fresh_notes()
-    empty.settle()
+    assert round_trip(config) == config
+
+
+def test_ready_only_when_synced_and_with_a_configuration():
+    instance_notes = empty_notes()
+    assert not instance_notes.is_ready
+    instance_notes.replace(VERSIONS[1])
+    assert not instance_notes.is_ready
+    instance_notes.mark_synced()
+    assert instance_notes.is_ready
+    empty = empty_notes()
+    empty.mark_synced()
     assert not empty.is_ready
 
 
 async def accept_many(count, table, objects, monkeypatch):
-    monkeypatch.setattr(snapshots, "EVERY", 5)
-    monkeypatch.setattr(snapshots, "MOST_SNAPSHOTS", 3)
-    acceptor, held, store = test_acceptance.instance(table, objects)
+    monkeypatch.setattr(snapshots, "SNAPSHOT_INTERVAL", 5)
+    monkeypatch.setattr(snapshots, "MAX_SNAPSHOTS", 3)
+    acceptor, instance_notes, store = test_acceptance.make_instance(
+        table, objects
+    )
     for base in range(count):
         note = test_acceptance.team_note(base, f"t{base}")
         assert (await acceptor.accept(note)).version == base + 1
-        await store.maybe_store(held.config)
-    return acceptor, held, store
+        await store.maybe_store(instance_notes.config)
+    return acceptor, instance_notes, store
 
 
-async def test_snapshots_deltas_and_bounded_sweep(monkeypatch):
+async def test_snapshots_and_deletion_of_old_notes(monkeypatch):
     table, objects = fakes.FakeTable(), fakes.FakeObjects()
-    _, held, store = await accept_many(32, table, objects, monkeypatch)
-    assert sorted(objects.held) == [
+    _, instance_notes, store = await accept_many(
+        32, table, objects, monkeypatch
+    )
+    assert sorted(objects.stored) == [
         rows.object_name(item, 0) for item in (20, 25, 30)
     ]
-    deltas = [key for key in table.rows if key.startswith(rows.PREFIX)]
+    deltas = [key for key in table.rows if key.startswith(rows.NOTE_PREFIX)]
     assert min(deltas) == rows.note_key(21)
-    _, starter, _ = test_acceptance.instance(table, objects)
-    assert await starter.load() is None
-    assert starter.config == held.config
-    past = history.History(table=table, snapshots=store, notes=held)
+    _, started, _ = test_acceptance.make_instance(table, objects)
+    assert await started.load() is None
+    assert started.config == instance_notes.config
+    past = history.History(table=table, snapshots=store, notes=instance_notes)
     for version in (20, 23, 30, 31, 32):
         config = await past.config_at(version)
         assert config.version == version
         assert len(config.sections["teams"]) == version
-    swept = await past.config_at(7)
-    assert swept.kind == kinds.Kind.NOTE_INVALID
+    deleted = await past.config_at(7)
+    assert deleted.kind == kinds.Kind.NOTE_INVALID
     latest = await past.latest(2)
     assert [item["version"] for item in latest] == [31, 32]
 
 
-async def test_a_follower_behind_the_sweep_takes_the_snapshot(monkeypatch):
-    """A zone rejoins after so long that the notes it lacks are swept.
+async def test_catch_up_after_deleted_notes_loads_a_snapshot(monkeypatch):
+    """A zone rejoins after the notes that it lacks were deleted.
 
-    Reading on from the first note that is left would skip some.
+    Continuing with the first remaining note would skip the deleted ones.
     """
     table, objects = fakes.FakeTable(), fakes.FakeObjects()
-    _, behind, _ = test_acceptance.instance(table, objects)
-    _, held, _ = await accept_many(32, table, objects, monkeypatch)
-    objects.away = True
-    await behind.follow()
+    _, behind, _ = test_acceptance.make_instance(table, objects)
+    _, instance_notes, _ = await accept_many(32, table, objects, monkeypatch)
+    objects.is_unavailable = True
+    await behind.catch_up()
     assert behind.config.version == 0
-    objects.away = False
-    assert await behind.follow() is None
-    assert behind.config == held.config
+    objects.is_unavailable = False
+    assert await behind.catch_up() is None
+    assert behind.config == instance_notes.config
 
 
-@pytest.mark.parametrize("objects_away, pointer", [(True, 0), (False, 1)])
-async def test_pointer_is_raised_only_over_a_stored_object(
-    monkeypatch, objects_away, pointer
+@pytest.mark.parametrize(
+    "is_unavailable, has_pointer", [(True, 0), (False, 1)]
+)
+async def test_pointer_is_written_only_after_the_object(
+    monkeypatch, is_unavailable, has_pointer
 ):
-    monkeypatch.setattr(snapshots, "EVERY", 1)
+    monkeypatch.setattr(snapshots, "SNAPSHOT_INTERVAL", 1)
     table, objects = fakes.FakeTable(), fakes.FakeObjects()
-    acceptor, held, store = test_acceptance.instance(table, objects)
-    objects.away = objects_away
+    acceptor, instance_notes, store = test_acceptance.make_instance(
+        table, objects
+    )
+    objects.is_unavailable = is_unavailable
     await acceptor.accept(builders.first_note({}))
-    assert await store.maybe_store(held.config) is not objects_away
-    assert (rows.POINTER in table.rows) == bool(pointer)
+    assert await store.maybe_store(instance_notes.config) is not is_unavailable
+    assert (rows.POINTER_KEY in table.rows) == bool(has_pointer)
 
 
-@pytest.mark.parametrize("same", [False, True])
-async def test_two_instances_store_at_once_and_one_snapshot_is_left(
-    monkeypatch, same
-):
-    """Two instances accept notes at the same time and both store.
+@pytest.mark.parametrize("same_version", [False, True])
+async def test_concurrent_stores_leave_one_snapshot(monkeypatch, same_version):
+    """Two instances accept notes at the same time and both store snapshots.
 
-    What no pointer names would stay in the object store for ever; what
-    it names must not be deleted by the one that came second.
+    A snapshot that the pointer does not list would stay in the object
+    store forever; one that it lists must not be deleted by the instance
+    that lost the race.
     """
-    monkeypatch.setattr(snapshots, "EVERY", 1)
+    monkeypatch.setattr(snapshots, "SNAPSHOT_INTERVAL", 1)
     table, objects = fakes.FakeTable(), fakes.FakeObjects()
-    acceptor, held, store = test_acceptance.instance(table, objects)
-    _, _, other = test_acceptance.instance(table, objects)
+    acceptor, instance_notes, store = test_acceptance.make_instance(
+        table, objects
+    )
+    _, _, other = test_acceptance.make_instance(table, objects)
     await acceptor.accept(test_acceptance.team_note(0))
-    early = held.config
+    early = instance_notes.config
     await acceptor.accept(test_acceptance.team_note(1, "t2"))
     put = objects.put
 
     async def slow_put(name, value):
         objects.put = put
-        assert await store.maybe_store(held.config)
+        assert await store.maybe_store(instance_notes.config)
         return await put(name, value)
 
     objects.put = slow_put
-    assert not await other.maybe_store(held.config if same else early)
-    assert list(objects.held) == [rows.object_name(2, 0)]
-    assert table.rows[rows.POINTER][0] == {"versions": [2]}
+    assert not await other.maybe_store(
+        instance_notes.config if same_version else early
+    )
+    assert list(objects.stored) == [rows.object_name(2, 0)]
+    assert table.rows[rows.POINTER_KEY][0] == {"versions": [2]}
--- a/sycamoreshed/notes/tests/test_sync.py
+++ b/sycamoreshed/notes/tests/test_sync.py
@@ -1,9 +1,9 @@
-"""Fetching notes from peers, without a network."""
+"""Fetching of notes from peers, without a network."""
 
 import asyncio
 
 from sycamoreshed.adapters import web
-from sycamoreshed.notes import notes as following
+from sycamoreshed.notes import notes as notes_module
 from sycamoreshed.notes import rows
 from sycamoreshed.notes import sync
 from sycamoreshed.notes.tests import test_acceptance
@@ -14,19 +14,19 @@
 
 
 class Peers:
-    """Stands in for the exchange; `hear` tells of a version."""
+    """Fake of the gossip service; `announce` delivers a version."""
 
     has_seeds = True
 
     def __init__(self):
-        self.hear = None
+        self.announce = None
 
     def hang(self, _name, *, write, read):
-        """Take in who reads the versions that peers tell."""
-        self.hear = read
+        """Store the callback for the versions that peers announce."""
+        self.announce = read
 
     def wake(self):
-        """Do nothing: nobody is told."""
+        """Do nothing; there are no peers to notify."""
 
     def address_of(self, name):
         """Return the address of a peer."""
@@ -34,22 +34,22 @@
 
 
 def accepted(version):
-    """Return the note that makes a version, as a peer sends it."""
+    """Return the accepted note that creates a version, as a peer sends it."""
     note = test_acceptance.team_note(version - 1, f"t{version}")
     return rows.Accepted(note=note, at=0.0)
 
 
-async def told(monkeypatch, events, *, seconds):
-    """Hear of versions; return the version in force at the end.
+async def final_version(monkeypatch, events, *, seconds):
+    """Deliver announcements and return the final version.
 
     Parameters
     ----------
     events : list of (float, int, str)
-        When which version is told, by whom.  A peer has each version
-        from the moment on at which it is told.
+        Time, version and peer of each announcement.  Peers have a
+        version from the time of its announcement on.
     """
     loop = asyncio.get_running_loop()
-    notes = following.Notes(table=None, snapshots=None)
+    notes = notes_module.Notes(table=None, snapshots=None)
     peers = Peers()
     sync.ConfigSync(
         settings=None,
@@ -62,34 +62,37 @@
     )
 
     async def fetch(_session, _method, _address, path, *, timeout):
-        own = int(path.rpartition("=")[2])
+        after = int(path.rpartition("=")[2])
         newest = max(v for at, v, _ in events if at <= loop.time())
         await asyncio.sleep(FETCH_S)
-        found = [accepted(v) for v in range(own + 1, newest + 1)]
-        return web.Reply(200, {"version": newest, "notes": found}, 100)
+        updates = [accepted(v) for v in range(after + 1, newest + 1)]
+        return web.Reply(200, {"version": newest, "notes": updates}, 100)
 
     monkeypatch.setattr(web, "fetch", fetch)
     for at, version, peer in events:
-        loop.call_at(at, peers.hear, version, peer, at)
+        loop.call_at(at, peers.announce, version, peer, at)
     await asyncio.sleep(seconds)
     return notes.config.version
 
 
-def test_what_is_heard_during_a_fetch_is_fetched_too(monkeypatch):
-    """Two notes are accepted one just after the other.
+def test_version_announced_during_a_fetch_is_fetched_too(monkeypatch):
+    """Two notes are accepted in quick succession.
 
-    An instance hears of the second while it fetches the first.  It forgot
-    about it until the next message, seconds later, and routed to an
-    endpoint that the second note had withdrawn.
+    The second is announced while the first is being fetched.  If that
+    announcement is dropped, the instance learns of the note only with the
+    next message, seconds later, and meanwhile routes to an endpoint that
+    the note has withdrawn.
     """
     events = [(1.0, 1, "near"), (1.1, 2, "near")]
     seconds = 1.0 + 2 * FETCH_S + 0.1
-    version = virtualtime.run(told(monkeypatch, events, seconds=seconds))
+    version = virtualtime.run(
+        final_version(monkeypatch, events, seconds=seconds)
+    )
     assert version == 2
 
 
-def test_who_tells_last_is_asked(monkeypatch):
-    """The peer that told of the newest version is gone when it is asked."""
+def test_fetch_uses_the_last_peer_to_announce(monkeypatch):
+    """The first peer to announce the version is gone when it is asked."""
     events = [(1.0, 2, "gone"), (1.2, 2, "near")]
-    version = virtualtime.run(told(monkeypatch, events, seconds=1.5))
+    version = virtualtime.run(final_version(monkeypatch, events, seconds=1.5))
     assert version == 2
