--- a/sycamoreshed/staging/coordinator.py
+++ b/sycamoreshed/staging/coordinator.py
@@ -42,7 +42,7 @@
         that may get calls.
     make_batcher : callable
         Takes `Service`, endpoints and `Plans`, returns a `Batcher`.
-    budget : RepeatBudget
+    budget : RetryBudget
     instances : callable
         Returns how many instances share the budget.
     journal : Journal
@@ -91,7 +91,7 @@
         try:
             # A call that began in time may end a little later; who asked
             # waits no longer than that either.
-            async with limits.limit(plan.until - now + GRACE_S):
+            async with limits.limit(plan.deadline - now + GRACE_S):
                 result = await self._run(plan)
             if not isinstance(result, kinds.Failure):
                 self._plans.done(plan, self._clock())
@@ -130,8 +130,8 @@
             request=job.request,
             zone=self._zone,
             pieces=[stage.count for stage in job.stages],
-            aim_s=round(job.aim_s, 3),
-            until_s=round(job.until_s, 3),
+            aim_s=round(job.target_s, 3),
+            until_s=round(job.soft_limit_s, 3),
             is_late=plan is None or plan.is_late,
             backlog_s={
                 name: round(each, 3)
@@ -206,7 +206,7 @@
         """Have the pieces of a stage made; return results or a failure."""
         stage = run.plan.job.stages[index]
         held = [None] * stage.count
-        self._budget.earn(stage.service, self._clock())
+        self._budget.record_requests(stage.service, self._clock())
         for attempt in range(1, MOST_ATTEMPTS + 1):
             wanted = self._wanted(run, index, inputs, held)
             made = await self._batcher(stage.service).make(
@@ -231,7 +231,7 @@
                 request=job.request,
                 stage=index,
                 index=number,
-                until=run.plan.until - after,
+                deadline=run.plan.deadline - after,
                 key=None if inputs else job.key,
                 inputs=tuple(each.handle for each in inputs),
             )
@@ -245,7 +245,7 @@
         # Asked for again with the same inputs, it would be gone again.
         allowed = failure.reason != "gone"
         if allowed and failure.sent:
-            allowed = self._budget.spend(
+            allowed = self._budget.try_spend(
                 stage.service, self._clock(), self._instances()
             )
         self._journal.write(
