--- a/sycamoreshed/config/changes.py
+++ b/sycamoreshed/config/changes.py
@@ -36,10 +36,10 @@
     --------
     >>> sorted(
     ...     touched_sections(
-    ...         {"added": {"teams": {}}, "withdrawn": {"zones": []}}
+    ...         {"added": {"teams": {}}, "withdrawn": {"regions": []}}
     ...     )
     ... )
-    ['teams', 'zones']
+    ['regions', 'teams']
     """
     return {
         section
@@ -68,26 +68,25 @@
     return result
 
 
-def differences(yours, winner):
+def differences(rejected, accepted):
     """Return the first `MAX_DIFFERENCES` differences of two notes.
 
     Parameters
     ----------
-    yours, winner : Note
-        The rejected and the accepted note.
+    rejected, accepted : Note
 
     Returns
     -------
     list of Difference
         Sorted by path; identical operations are left out.
     """
-    rejected = operations_by_path(yours)
-    accepted = operations_by_path(winner)
+    rejected_operations = operations_by_path(rejected)
+    accepted_operations = operations_by_path(accepted)
     untouched = ("untouched", None)
     result = []
-    for path in sorted({*rejected, *accepted}):
-        rejected_op = rejected.get(path, untouched)
-        accepted_op = accepted.get(path, untouched)
+    for path in sorted({*rejected_operations, *accepted_operations}):
+        rejected_op = rejected_operations.get(path, untouched)
+        accepted_op = accepted_operations.get(path, untouched)
         if rejected_op != accepted_op:
             result.append(Difference(path, rejected_op[0], accepted_op[0]))
     return result[:MAX_DIFFERENCES]
--- a/sycamoreshed/config/references.py
+++ b/sycamoreshed/config/references.py
@@ -1,8 +1,9 @@
-"""Referential integrity of the configuration after a release note.
+"""Consistency of the configuration after a release note.
 
-Only entries whose references the note may have broken are checked: those
-it adds or changes, and those that may refer to entries it withdraws or
-changes.  A note on one team of 35,000 does not check the other teams.
+Only entries that the note may have made invalid are checked: those it
+adds or changes, and those that may refer to entries it withdraws or
+changes.  A note that adds or changes one of 35,000 teams checks nothing
+else.
 """
 
 from sycamoreshed import exceptions
@@ -12,7 +13,7 @@
 
 
 def check(sections, note, *, source):
-    """Check the references that a note may have broken.
+    """Check the entries that a note may have made invalid.
 
     Parameters
     ----------
@@ -25,20 +26,21 @@
     Raises
     ------
     CheckError
-        If a reference has no target; names the entry that holds it.
+        If an entry is invalid or refers to one that does not exist; names
+        that entry.
     """
     modified = _modified_by_section(note)
     withdrawn = note.get("withdrawn", {})
     zones = {
         zone for spec in sections["regions"].values() for zone in spec["zones"]
     }
-    regions_changed = bool(modified["regions"] or withdrawn.get("regions"))
-    services_changed = bool(modified["services"] or withdrawn.get("services"))
-    check_all = regions_changed or services_changed
+    regions_touched = bool(modified["regions"] or withdrawn.get("regions"))
+    services_touched = bool(modified["services"] or withdrawn.get("services"))
+    check_all = regions_touched or services_touched
     for name in _names_to_check(sections, modified, "endpoints", check_all):
         _check_endpoint(sections, name, zones, source)
     for name in _names_to_check(
-        sections, modified, "placements", regions_changed
+        sections, modified, "placements", regions_touched
     ):
         _check_placement(sections, name, zones, source)
     for name in _names_to_check(sections, modified, "pipelines", check_all):
@@ -67,6 +69,7 @@
 def _names_to_check(sections, modified, section, check_all):
     if check_all:
         return sorted(sections[section])
+    # A note may withdraw an entry that it also adds or changes.
     return sorted(modified[section] & sections[section].keys())
 
 
@@ -130,5 +133,5 @@
             _reject(source, f"$.pipelines.{name}", f"no team {team!r}")
 
 
-def _reject(source, path, expected):
-    raise exceptions.CheckError(source=source, path=path, expected=expected)
+def _reject(source, path, problem):
+    raise exceptions.CheckError(source=source, path=path, expected=problem)
--- a/sycamoreshed/config/schema.py
+++ b/sycamoreshed/config/schema.py
@@ -1,8 +1,8 @@
 """Schema of the configuration and of release notes.
 
-A release note lists the entries that are added, changed and withdrawn,
-each under the same sections, so that one type describes an entry
-wherever it occurs.
+A release note lists entries by section: added and changed ones in full,
+withdrawn ones by name.  All use the same sections, so that one type
+describes an entry wherever it occurs.
 """
 
 import typing
@@ -36,11 +36,12 @@
 
 
 class ServiceSpec(typing.TypedDict):
-    """A pool of equivalent endpoints: engines, encoders, a plain service.
+    """A group of equivalent endpoints: engines, encoders, a plain service.
 
+    Only ``engine`` is treated specially; the other kinds are alike.
     ``repeatable`` false means that a call must not be sent twice.
-    ``lookup`` means that an endpoint can be queried, by key, for the
-    outcome of a call.
+    ``lookup`` means that an endpoint can be queried for the outcome
+    of a call by its idempotency key.
     """
 
     kind: typing.Literal["engine", "pool", "plain"]
@@ -50,7 +51,11 @@
 
 
 class StageSpec(typing.TypedDict):
-    """One stage of a pipeline; ``share`` is its fraction of the deadline."""
+    """One stage of a pipeline.
+
+    ``share`` is its weight when the remaining time of a request is divided
+    among the remaining stages.
+    """
 
     name: str
     service: str
@@ -59,7 +64,11 @@
 
 
 class PipelineSpec(typing.TypedDict):
-    """A callable pipeline: its stages in order and the default deadline."""
+    """A pipeline that teams can call: its stages and default deadline.
+
+    ``teams`` and ``regions`` restrict who may call it and where; absent
+    or empty, they do not.
+    """
 
     stages: typing.Annotated[list[StageSpec], msgspec.Meta(min_length=1)]
     deadline_ms: Positive
@@ -78,7 +87,8 @@
 class EndpointSpec(typing.TypedDict):
     """One endpoint of a service.
 
-    ``checks_orders`` means that it rejects outdated fencing tokens.
+    ``checks_orders`` means that it rejects orders with an outdated
+    fencing token.
     ``rack`` names its failure domain; replicas are spread over racks.
     """
 
@@ -133,6 +143,7 @@
     """A full configuration, or one part of it.
 
     ``part`` is the number of this part, from zero, out of ``parts``.
+    ``withdrawn`` names the withdrawn pipelines.
     """
 
     version: int
--- a/sycamoreshed/config/state.py
+++ b/sycamoreshed/config/state.py
@@ -1,8 +1,8 @@
 """Versions of the configuration, and how a release note makes the next one.
 
 A version shares every section that the note does not touch with the
-previous version.  The table of 35,000 teams is copied only by a note on
-teams, and the copy is shallow.
+previous version.  The section of teams, which may have 35,000 entries, is
+copied only by a note on teams, and the copy is shallow.
 """
 
 import bisect
@@ -23,9 +23,9 @@
     "Config",
     "Endpoint",
     "apply_note",
+    "build_config",
     "check_note",
     "check_part",
-    "compile_config",
     "count_parts",
     "document",
     "document_part",
@@ -37,7 +37,7 @@
 
 
 class Endpoint(typing.NamedTuple):
-    """An endpoint with the fields that routing needs.
+    """An endpoint with its region and defaults filled in.
 
     Parameters
     ----------
@@ -63,10 +63,10 @@
     Parameters
     ----------
     version : int
-        Number of the last accepted note; zero before the first.
+        Number of the last note applied; zero before the first.
     sections : Sections
         All entries.
-    withdrawn : frozenset of str
+    withdrawn_pipelines : frozenset of str
         Names of withdrawn pipelines, to distinguish them from unknown
         ones.
     endpoints : dict of str to tuple of Endpoint
@@ -77,7 +77,7 @@
 
     version: int
     sections: schema.Sections
-    withdrawn: frozenset
+    withdrawn_pipelines: frozenset
     endpoints: dict
     zones: dict
 
@@ -86,7 +86,10 @@
         return self.sections[section].get(name)
 
     def is_assigned(self, pipeline, team):
-        """Return whether a team may call a pipeline, which must exist."""
+        """Return whether a team may call an existing pipeline.
+
+        Any team may call a pipeline that lists no teams.
+        """
         teams = self.sections["pipelines"][pipeline].get("teams")
         if not teams:
             return True
@@ -94,7 +97,7 @@
         return index < len(teams) and teams[index] == team
 
 
-def compile_config(version, sections, withdrawn):
+def build_config(version, sections, withdrawn):
     """Build a `Config` with its indexes.
 
     Parameters
@@ -126,13 +129,13 @@
     return Config(
         version=version,
         sections=sections,
-        withdrawn=frozenset(withdrawn),
+        withdrawn_pipelines=frozenset(withdrawn),
         endpoints={key: tuple(value) for key, value in endpoints.items()},
         zones=zones,
     )
 
 
-EMPTY = compile_config(0, {name: {} for name in schema.SECTIONS}, ())
+EMPTY = build_config(0, {name: {} for name in schema.SECTIONS}, ())
 
 
 def apply_note(config, note, *, source="note"):
@@ -155,7 +158,8 @@
     ------
     CheckError
         If the note adds an entry that exists, changes or withdraws one
-        that does not, or leaves a reference without its target.
+        that does not, leaves a reference without its target, or makes an
+        entry invalid.
     """
     touched_sections = changes.touched_sections(note)
     sections = dict(config.sections)
@@ -163,7 +167,7 @@
         sections[section] = dict(sections[section])
     _merge(sections, note.get("added", {}), "added", False, source)
     _merge(sections, note.get("changed", {}), "changed", True, source)
-    withdrawn = set(config.withdrawn)
+    withdrawn = set(config.withdrawn_pipelines)
     for section, names in note.get("withdrawn", {}).items():
         for name in names:
             path = f"$.withdrawn.{section}"
@@ -171,9 +175,10 @@
                 _reject(source, path, f"{name!r} does not exist")
             if section == "pipelines":
                 withdrawn.add(name)
+    # A pipeline that is added again is no longer withdrawn.
     withdrawn.difference_update(sections["pipelines"])
     references.check(sections, note, source=source)
-    return _derive(config, sections, withdrawn, touched_sections)
+    return _next_version(config, sections, withdrawn, touched_sections)
 
 
 def document(config):
@@ -183,12 +188,12 @@
         part=0,
         parts=1,
         sections=config.sections,
-        withdrawn=sorted(config.withdrawn),
+        withdrawn=sorted(config.withdrawn_pipelines),
     )
 
 
 def count_parts(config):
-    """Return the number of parts in which a configuration is sent."""
+    """Return the number of parts into which a configuration is split."""
     return max(1, math.ceil(len(config.sections["teams"]) / TEAMS_PER_PART))
 
 
@@ -212,7 +217,7 @@
         part=number,
         parts=count_parts(config),
         sections=sections,
-        withdrawn=sorted(config.withdrawn) if number == 0 else [],
+        withdrawn=sorted(config.withdrawn_pipelines) if number == 0 else [],
     )
 
 
@@ -234,11 +239,11 @@
     for part in parts:
         teams.update(part["sections"]["teams"])
     sections["teams"] = teams
-    return compile_config(parts[0]["version"], sections, parts[0]["withdrawn"])
+    return build_config(parts[0]["version"], sections, parts[0]["withdrawn"])
 
 
 def check_note(raw, *, source):
-    """Decode a release note and check it without a configuration.
+    """Decode a release note and check its structure only.
 
     Returns
     -------
@@ -277,18 +282,21 @@
     return {**spec, "teams": sorted(spec["teams"])}
 
 
-def _derive(config, sections, withdrawn, touched_sections):
-    """Build the next version, reusing the indexes that did not change."""
+def _next_version(config, sections, withdrawn, touched_sections):
+    """Build the next version.
+
+    The indexes are reused if no region or endpoint changed.
+    """
     if not touched_sections.isdisjoint(("regions", "endpoints")):
-        return compile_config(config.version + 1, sections, withdrawn)
+        return build_config(config.version + 1, sections, withdrawn)
     return Config(
         version=config.version + 1,
         sections=sections,
-        withdrawn=frozenset(withdrawn),
+        withdrawn_pipelines=frozenset(withdrawn),
         endpoints=config.endpoints,
         zones=config.zones,
     )
 
 
-def _reject(source, path, expected):
-    raise exceptions.CheckError(source=source, path=path, expected=expected)
+def _reject(source, path, problem):
+    raise exceptions.CheckError(source=source, path=path, expected=problem)
--- a/sycamoreshed/config/tests/test_state.py
+++ b/sycamoreshed/config/tests/test_state.py
@@ -92,9 +92,9 @@
 
 def test_withdrawn_pipeline_is_distinguished_from_an_unknown_one():
     config = apply("withdrawn", "pipelines", ["ballot"])
-    assert config.withdrawn == {"ballot"}
+    assert config.withdrawn_pipelines == {"ballot"}
     note = builders.note(2, added={"pipelines": {"ballot": pipeline(STAGE)}})
-    assert state.apply_note(config, note).withdrawn == frozenset()
+    assert state.apply_note(config, note).withdrawn_pipelines == frozenset()
 
 
 @settings(derandomize=True, deadline=None)
--- a/sycamoreshed/entry/parsing.py
+++ b/sycamoreshed/entry/parsing.py
@@ -42,7 +42,7 @@
     """Return a failure if the team may not call the pipeline, or None."""
     if config.entry("teams", team) is None:
         return kinds.Failure(kinds.Kind.UNKNOWN_TEAM, f"team {team!r}")
-    if pipeline in config.withdrawn:
+    if pipeline in config.withdrawn_pipelines:
         return kinds.Failure(kinds.Kind.WITHDRAWN, f"pipeline {pipeline!r}")
     spec = config.entry("pipelines", pipeline)
     if spec is None:
--- a/sycamoreshed/notes/acceptance.py
+++ b/sycamoreshed/notes/acceptance.py
@@ -19,16 +19,16 @@
 
 
 class Verdict(typing.NamedTuple):
-    """The outcome of a note.
+    """The outcome of accepting, checking or looking up a note.
 
     Parameters
     ----------
     version : int or None
-        The version that the note created, if it was accepted.
+        The version that the note created, or would create (`check`).
     failure : Failure or None
     winner : Note or None
-        The note that was accepted instead.
-    differences : list of Difference
+        The accepted note that it conflicts with.
+    differences : sequence of Difference
         Between the note and the winner.
     """
 
@@ -45,7 +45,7 @@
     ----------
     table : Table
     notes : Notes
-        Applies the notes accepted here.
+        Holds the current configuration; accepted notes are applied to it.
     """
 
     def __init__(self, *, table, notes):
@@ -61,8 +61,9 @@
 
         Notes
         -----
-        Acceptance is idempotent: the note's id is looked up first, and
-        the row of the id is written in the same transaction as the note.
+        Acceptance is idempotent: the note's id is looked up before its
+        base version is compared, and the row of the id is written in the
+        same transaction as the note.
         """
         failure = await self._notes.catch_up()
         if failure is not None:
@@ -115,18 +116,23 @@
         return Verdict(version=row.value and row.value["version"])
 
     async def _earlier(self, note):
-        """Return the verdict if the note's id is already in use, or None."""
+        """Return the verdict on a note whose id is in use, or None.
+
+        If the table cannot be read, the verdict is unknown.
+        """
         verdict = await self.find_accepted(note["id"])
         if verdict.version is None:
             return verdict if verdict.failure else None
         row = await self._table.read(rows.note_key(verdict.version))
         if isinstance(row, kinds.Failure):
             return _unknown_verdict(row)
+        # A deleted note can no longer be compared.
         if row.value is None or row.value["note"] == note:
             return verdict
         return _conflict_verdict(note, row.value["note"], verdict.version)
 
     async def _outdated(self, note):
+        """Return the verdict on a note whose base version is outdated."""
         version = note["base"] + 1
         row = await self._table.read(rows.note_key(version))
         if isinstance(row, kinds.Failure):
@@ -142,18 +148,19 @@
         return _conflict_verdict(note, row.value["note"], version)
 
     async def _write(self, note):
-        """Write a note, retrying until its outcome is known.
+        """Write a note; retry while its outcome is unknown.
 
         Notes
         -----
         A write whose response is lost may have taken effect already, or
         may do so later.  In the latter case, a read alone would suggest
-        that the write had failed.  If the read finds no row, the same
-        write is therefore sent again: both are conditional on the same
-        rows, so at most one of them succeeds.
+        that the write had failed.  Unless the read finds the row, the
+        same write is therefore sent again, up to `MAX_ATTEMPTS` times in
+        all: all are conditional on the same rows, so at most one of them
+        succeeds.
         """
         version = note["base"] + 1
-        accepted = rows.Accepted(note=note, at=time.time())
+        accepted = rows.AcceptedNote(note=note, at=time.time())
         writes = (
             tables.Write(rows.note_key(version), accepted, tables.ABSENT),
             tables.Write(
@@ -167,6 +174,7 @@
                 self._notes.advance(version, accepted)
                 return Verdict(version=version)
             if isinstance(result, tables.Conflict):
+                # The conflict may be with an earlier attempt of this note.
                 await self._notes.catch_up()
                 return await self._earlier(note) or await self._outdated(note)
             failure = result
@@ -179,6 +187,8 @@
 
 
 def _unknown_verdict(failure):
+    # Even if only a read failed, an earlier submission of the same note may
+    # have been accepted.
     reason = (
         f"the store is away ({failure.reason}); "
         "unknown, ask again with `note status`"
--- a/sycamoreshed/notes/history.py
+++ b/sycamoreshed/notes/history.py
@@ -35,9 +35,9 @@
             Version, id, author, wall-clock time and touched sections.
         """
         await self._notes.catch_up()
-        first = max(self._notes.config.version - limit, 0)
+        after = max(self._notes.config.version - limit, 0)
         note_rows = await self._table.scan(
-            rows.NOTE_PREFIX, after=rows.note_key(first), limit=limit
+            rows.NOTE_PREFIX, after=rows.note_key(after), limit=limit
         )
         if isinstance(note_rows, kinds.Failure):
             return note_rows
@@ -61,7 +61,8 @@
         -------
         Config or Failure
             A failure of kind ``note-invalid`` if the version does not
-            exist or its notes were deleted.
+            exist or its notes were deleted, of kind ``store-away`` if a
+            store cannot be read.
         """
         if version == self._notes.config.version:
             return self._notes.config
@@ -88,6 +89,7 @@
 
 
 def _replay(config, note_rows, version):
+    """Apply consecutive notes up to `version` or a gap."""
     for row in note_rows:
         is_next = row.key == rows.note_key(config.version + 1)
         if config.version == version or not is_next:
--- a/sycamoreshed/notes/notes.py
+++ b/sycamoreshed/notes/notes.py
@@ -18,7 +18,7 @@
 
 
 class Notes:
-    """The current configuration of this instance.
+    """Holds the current configuration and applies release notes to it.
 
     Parameters
     ----------
@@ -41,11 +41,11 @@
 
     @property
     def is_ready(self):
-        """Whether there is an accepted configuration that may be served."""
+        """Whether requests may be served: synced, with a configuration."""
         return self._synced and self._config.version > 0
 
     def mark_synced(self):
-        """Record that reachable peers were asked for the latest version."""
+        """Record that the initial sync ended, by a peer or by timeout."""
         self._synced = True
 
     def on_change(self, func):
@@ -58,14 +58,14 @@
         Parameters
         ----------
         version : int
-        accepted : Accepted
+        accepted : AcceptedNote
 
         Returns
         -------
         bool
-            False if the note was not applied.  Only the next version is:
-            old messages have no effect, and after a gap the notes in
-            between must be applied first.
+            False if `version` is not the next one or the note is invalid.
+            Old notes have no effect; after a gap, the notes in between
+            must be applied first.
         """
         if version != self._config.version + 1:
             return False
@@ -88,6 +88,7 @@
         Returns
         -------
         bool
+            Whether it was installed.
         """
         if config.version <= self._config.version:
             return False
@@ -112,7 +113,9 @@
         return {"version": current}
 
     async def catch_up(self):
-        """Read the notes after the current version and apply them.
+        """Apply the notes after the current version.
+
+        If some of them were deleted, load a snapshot first.
 
         Returns
         -------
@@ -128,7 +131,7 @@
                 return None
 
     async def load(self):
-        """Load the latest snapshot if it is newer, then catch up.
+        """Load the latest snapshot, install it if newer, then catch up.
 
         Returns
         -------
@@ -142,6 +145,7 @@
         return await self.catch_up()
 
     async def _read_page(self):
+        """Read the next notes; install a snapshot if some were deleted."""
         after = rows.note_key(self._config.version)
         page = await self._table.scan(
             rows.NOTE_PREFIX, after=after, limit=PAGE_SIZE
@@ -157,6 +161,7 @@
             return config
         if config is not None and self.replace(config):
             return await self._read_page()
+        # There is no newer snapshot yet; the next poll tries again.
         return []
 
     def _install(self, config, note_id):
--- a/sycamoreshed/notes/rows.py
+++ b/sycamoreshed/notes/rows.py
@@ -5,9 +5,9 @@
 from sycamoreshed.config import schema
 
 __all__ = [
-    "Accepted",
-    "POINTER_KEY",
-    "Pointer",
+    "AcceptedNote",
+    "MANIFEST_KEY",
+    "Manifest",
     "id_key",
     "note_key",
     "object_name",
@@ -15,17 +15,17 @@
 ]
 
 NOTE_PREFIX = "notes/"
-POINTER_KEY = "notes-snapshots"
+MANIFEST_KEY = "notes-snapshots"
 
 
-class Accepted(typing.TypedDict):
-    """An accepted note; ``at`` is its wall-clock time in seconds."""
+class AcceptedNote(typing.TypedDict):
+    """An accepted note; ``at`` is the Unix time of acceptance."""
 
     note: schema.Note
     at: float
 
 
-class Pointer(typing.TypedDict):
+class Manifest(typing.TypedDict):
     """The row that lists the versions of stored snapshots, oldest first."""
 
     versions: list[int]
@@ -53,7 +53,7 @@
     Notes
     -----
     These rows are kept when old notes are deleted, so that a note that is
-    applied again months later is still recognized.
+    submitted again months later is still recognized.
     """
     return f"note-ids/{note_id}"
 
--- a/sycamoreshed/notes/snapshots.py
+++ b/sycamoreshed/notes/snapshots.py
@@ -1,7 +1,7 @@
 """Snapshots of the configuration in the object store.
 
 Every `SNAPSHOT_INTERVAL` versions, the instance that accepted the last
-note stores the full configuration and then adds it to a pointer row in the
+note stores the full configuration and then adds it to a manifest row in the
 table.  A starting instance loads the latest snapshot and the notes after
 it.
 """
@@ -18,25 +18,28 @@
 __all__ = ["Snapshots", "add_snapshot"]
 
 SNAPSHOT_INTERVAL = 50
-# Notes up to the oldest of these are deleted; the rest cover about three
-# days.
+# Older snapshots, and the notes up to the oldest one retained, are deleted.
+# The remaining 2,000 notes cover almost three days at 720 notes a day.
 MAX_SNAPSHOTS = 40
 MAX_DELETED_NOTES = 100
-MAX_PARTS = 100
+MAX_DELETED_PARTS = 100
 
 
-def add_snapshot(pointer, version):
-    """Add a snapshot to the pointer and select the snapshots to delete.
+def add_snapshot(manifest, version):
+    """Add a snapshot to the manifest and select the snapshots to delete.
+
+    A version that is not above the latest one is ignored.
 
     Parameters
     ----------
-    pointer : Pointer
+    manifest : Manifest
     version : int
         Version of the stored snapshot.
 
     Returns
     -------
-    tuple of Pointer and list of int
+    tuple of Manifest and list of int
+        The new manifest, and the versions to delete.
 
     Examples
     --------
@@ -45,12 +48,12 @@
     >>> add_snapshot({"versions": [50, 100]}, 60)
     ({'versions': [50, 100]}, [])
     """
-    versions = pointer["versions"]
+    versions = manifest["versions"]
     if versions and version <= versions[-1]:
-        return pointer, []
+        return manifest, []
     versions = [*versions, version]
     retained = versions[-MAX_SNAPSHOTS:]
-    return rows.Pointer(versions=retained), versions[: -len(retained)]
+    return rows.Manifest(versions=retained), versions[: -len(retained)]
 
 
 class Snapshots:
@@ -65,7 +68,7 @@
     def __init__(self, *, table, objects):
         self._table = table
         self._objects = objects
-        self._latest = 0
+        self._latest_version = 0
         self._storing = False
 
     async def load_latest(self, *, max_version=None):
@@ -74,14 +77,14 @@
         Returns
         -------
         Config, None or Failure
-            None if there is no snapshot.
+            None if there is no such snapshot.
         """
-        row = await self._table.read(rows.POINTER_KEY)
+        row = await self._table.read(rows.MANIFEST_KEY)
         if isinstance(row, kinds.Failure):
             return row
         versions = row.value["versions"] if row.value else []
         if versions:
-            self._latest = max(self._latest, versions[-1])
+            self._latest_version = max(self._latest_version, versions[-1])
         usable = [
             item
             for item in versions
@@ -99,10 +102,13 @@
         bool
             Whether a snapshot was stored.
         """
-        if self._storing or config.version - self._latest < SNAPSHOT_INTERVAL:
+        if (
+            self._storing
+            or config.version - self._latest_version < SNAPSHOT_INTERVAL
+        ):
             return False
-        # Otherwise every note accepted while a snapshot is being stored
-        # would start another.
+        # Without this flag, every note accepted while a snapshot is being
+        # stored would start another.
         self._storing = True
         try:
             return await self._store_if_due(config)
@@ -110,33 +116,33 @@
             self._storing = False
 
     async def _store_if_due(self, config):
-        row = await self._table.read(rows.POINTER_KEY)
+        row = await self._table.read(rows.MANIFEST_KEY)
         if isinstance(row, kinds.Failure):
             return False
-        pointer = row.value or rows.Pointer(versions=[])
-        if pointer["versions"]:
-            self._latest = pointer["versions"][-1]
-        if config.version - self._latest < SNAPSHOT_INTERVAL:
+        manifest = row.value or rows.Manifest(versions=[])
+        if manifest["versions"]:
+            self._latest_version = manifest["versions"][-1]
+        if config.version - self._latest_version < SNAPSHOT_INTERVAL:
             return False
         if not await self._store(config):
             return False
-        new_pointer, expired = add_snapshot(pointer, config.version)
-        # Written only after the object: a pointer to a missing object
-        # would leave starting instances without a configuration.
+        new_manifest, excess = add_snapshot(manifest, config.version)
+        # The manifest is written only after all parts: listing a missing
+        # object would leave starting instances without a configuration.
         result = await self._table.write(
-            tables.Write(rows.POINTER_KEY, new_pointer, row.version)
+            tables.Write(rows.MANIFEST_KEY, new_manifest, row.version)
         )
         if isinstance(result, tables.Conflict):
-            # Another instance wrote the pointer first.  A snapshot that
-            # the pointer does not list would never be deleted.
+            # Another instance wrote the manifest first.  A snapshot that
+            # the manifest does not list would never be deleted.
             listed = (result.rows[0].value or {}).get("versions", ())
             if config.version not in listed:
                 await self._delete(config.version)
         if not isinstance(result, tables.Written):
             return False
-        self._latest = config.version
+        self._latest_version = config.version
         logger.bind(version=config.version).info("snapshot stored")
-        await self._delete_expired(new_pointer["versions"][0], expired)
+        await self._delete_excess(new_manifest["versions"][0], excess)
         return True
 
     async def _load(self, version):
@@ -166,21 +172,22 @@
         return True
 
     async def _delete(self, version):
-        for number in range(MAX_PARTS):
+        for number in range(MAX_DELETED_PARTS):
             name = rows.object_name(version, number)
             if await self._objects.delete(name) is not True:
                 return
 
-    async def _delete_expired(self, oldest, expired):
-        """Delete expired snapshots, and notes up to the oldest retained.
+    async def _delete_excess(self, oldest, excess):
+        """Delete excess snapshots and, if any, old notes.
 
         Notes
         -----
-        At most `MAX_DELETED_NOTES` notes are deleted at a time, to avoid
-        a burst of writes.  No more than that are accepted between two
-        snapshots.
+        Notes are deleted up to the oldest retained snapshot, at most
+        `MAX_DELETED_NOTES` at a time to avoid a burst of writes.  Normally
+        no more than that are accepted between two snapshots, so that
+        deletion keeps up.
         """
-        for version in expired:
+        for version in excess:
             await self._delete(version)
         note_rows = await self._table.scan(
             rows.NOTE_PREFIX, limit=MAX_DELETED_NOTES
@@ -190,7 +197,7 @@
         writes = [
             tables.Write(row.key, None, row.version)
             for row in note_rows
-            if rows.version_of(row.key) <= oldest and expired
+            if rows.version_of(row.key) <= oldest and excess
         ]
         if writes:
             await self._table.write(*writes)
--- a/sycamoreshed/notes/sync.py
+++ b/sycamoreshed/notes/sync.py
@@ -26,7 +26,7 @@
 FREQUENT_POLL_S = 1.0
 INFREQUENT_POLL_S = 30.0
 FETCH_TIMEOUT_S = 2.0
-# A starting instance waits up to this long for a message from a peer before
+# A starting instance waits up to this long to synchronize with a peer before
 # it becomes ready: reads of the table may be stale, and a peer may have a
 # newer version.
 INITIAL_SYNC_TIMEOUT_S = 2.0
@@ -65,7 +65,7 @@
         self._spawn = spawn
         self._is_fetching = False
         self._announcement = _Announcement(0, "")
-        self._peer_synced = asyncio.Event()
+        self._initial_sync_done = asyncio.Event()
         notes.on_change(gossip.wake)
         gossip.hang("version", write=self._own_version, read=self._on_version)
 
@@ -77,15 +77,16 @@
             )
             failure = await self._notes.catch_up()
             if failure is not None:
+                # Back off while the table is unavailable.
                 seconds = max(seconds, 2 * FREQUENT_POLL_S)
             await asyncio.sleep(seconds * random.uniform(0.8, 1.2))
 
     async def wait_for_peer(self):
-        """Allow readiness after a first sync with a peer, or a timeout."""
+        """Mark as synced after a first sync with a peer, or a timeout."""
         if self._gossip.has_seeds:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(
-                    self._peer_synced.wait(), INITIAL_SYNC_TIMEOUT_S
+                    self._initial_sync_done.wait(), INITIAL_SYNC_TIMEOUT_S
                 )
         self._notes.mark_synced()
 
@@ -100,11 +101,11 @@
 
     def _on_version(self, version, name, _now):
         if version <= self._notes.config.version:
-            self._peer_synced.set()
+            self._initial_sync_done.set()
             return
-        # The sender of this message is reachable.  A peer that announced
-        # a higher version earlier, and from which the fetch failed, may be
-        # gone.
+        # Without a fetch in progress, even a lower version replaces the
+        # last announcement: its sender is reachable, while the earlier
+        # peer, from which the fetch failed, may be gone.
         if not self._is_fetching or version > self._announcement.version:
             self._announcement = _Announcement(version, name)
         if not self._is_fetching:
@@ -118,15 +119,15 @@
         -----
         A newer version may be announced while an earlier one is being
         fetched.  If it were ignored, it would be fetched only on the next
-        message, seconds later; the last announcement is therefore
-        compared again after each fetch.
+        message, seconds later; the highest version announced is
+        therefore compared again after each fetch.
         """
         try:
             while await self._fetch_once():
                 pass
         finally:
             self._is_fetching = False
-            self._peer_synced.set()
+            self._initial_sync_done.set()
 
     async def _fetch_once(self):
         """Fetch once; return whether this made progress and more remains."""
@@ -146,11 +147,11 @@
             if "notes" not in body:
                 await self._fetch_config(address, body["version"])
                 return
-            accepted = msgspec.convert(body["notes"], list[rows.Accepted])
+            accepted = msgspec.convert(body["notes"], list[rows.AcceptedNote])
         except msgspec.ValidationError:
             return
-        for number, item in enumerate(accepted, version + 1):
-            self._notes.advance(number, item)
+        for new_version, item in enumerate(accepted, version + 1):
+            self._notes.advance(new_version, item)
 
     async def _fetch_config(self, address, version):
         """Fetch a full configuration in parts.
--- a/sycamoreshed/notes/tests/fakes.py
+++ b/sycamoreshed/notes/tests/fakes.py
@@ -62,13 +62,13 @@
         return self.faults.pop(0) if self.faults else "ok"
 
     def _put(self, writes):
-        stale = [
+        conflicting = [
             tables.Row(write.key, *self.rows.get(write.key, (None, 0)))
             for write in writes
             if self.rows.get(write.key, (None, 0))[1] != write.if_version
         ]
-        if stale:
-            return tables.Conflict(tuple(stale))
+        if conflicting:
+            return tables.Conflict(tuple(conflicting))
         for write in writes:
             self._versions += 1
             self.rows[write.key] = (write.value, self._versions)
--- a/sycamoreshed/notes/tests/test_acceptance.py
+++ b/sycamoreshed/notes/tests/test_acceptance.py
@@ -12,14 +12,14 @@
 
 def make_instance(table, objects=None):
     """Return the acceptor, notes and snapshots of one instance."""
-    store = snapshots.Snapshots(
+    instance_snapshots = snapshots.Snapshots(
         table=table, objects=objects or fakes.FakeObjects()
     )
-    instance_notes = notes.Notes(table=table, snapshots=store)
+    instance_notes = notes.Notes(table=table, snapshots=instance_snapshots)
     return (
         acceptance.Acceptor(table=table, notes=instance_notes),
         instance_notes,
-        store,
+        instance_snapshots,
     )
 
 
@@ -30,8 +30,8 @@
 
 
 # Accepting a note scans the table, reads the row of the id, and writes.
-# After a lost response, it reads the row of the id (and that of the note,
-# if the id exists) and writes again.
+# After a lost response, it reads the row of the id, then that of the note if
+# the id exists, else writes again.
 FAULTS = [
     ("no fault", [], "accepted"),
     ("scan unavailable", ["down"], "unknown"),
@@ -61,9 +61,9 @@
     ids=[row[0] for row in FAULTS],
 )
 async def test_acceptance_under_faults(monkeypatch, faults, expected):
-    """The store is slow or unavailable, or its response is lost.
+    """The table is slow or unavailable, or its response is lost.
 
-    If a wrong outcome is reported, the operator applies a note twice or
+    If a wrong outcome is reported, the operator submits a note twice or
     relies on one that never took effect.
     """
     monkeypatch.setattr(acceptance, "RETRY_DELAY_S", 0)
@@ -110,7 +110,7 @@
     ]
 
 
-async def test_reapplying_is_idempotent_after_later_notes():
+async def test_resubmitting_is_idempotent_after_later_notes():
     table = fakes.FakeTable()
     acceptor, instance_notes, _ = make_instance(table)
     note = team_note(0)
@@ -163,15 +163,15 @@
 ]
 
 
-@pytest.mark.parametrize("parts, path", INVALID)
-async def test_rejection_names_the_path_and_writes_nothing(parts, path):
+@pytest.mark.parametrize("operations, path", INVALID)
+async def test_rejection_names_the_path_and_writes_nothing(operations, path):
     table = fakes.FakeTable()
     acceptor, instance_notes, _ = make_instance(table)
     spec = {"encoder-1": builders.endpoint_spec()}
     await acceptor.accept(builders.first_note(spec))
     await acceptor.accept(team_note(1))
     before = dict(table.rows)
-    verdict = await acceptor.accept(builders.note(2, **parts))
+    verdict = await acceptor.accept(builders.note(2, **operations))
     assert verdict.failure.kind == kinds.Kind.NOTE_INVALID
     assert path in verdict.failure.reason
     assert table.rows == before
--- a/sycamoreshed/notes/tests/test_sync.py
+++ b/sycamoreshed/notes/tests/test_sync.py
@@ -13,7 +13,7 @@
 FETCH_S = 0.2
 
 
-class Peers:
+class FakeGossip:
     """Fake of the gossip service; `announce` delivers a version."""
 
     has_seeds = True
@@ -36,7 +36,7 @@
 def accepted(version):
     """Return the accepted note that creates a version, as a peer sends it."""
     note = test_acceptance.team_note(version - 1, f"t{version}")
-    return rows.Accepted(note=note, at=0.0)
+    return rows.AcceptedNote(note=note, at=0.0)
 
 
 async def final_version(monkeypatch, events, *, seconds):
@@ -50,11 +50,11 @@
     """
     loop = asyncio.get_running_loop()
     notes = notes_module.Notes(table=None, snapshots=None)
-    peers = Peers()
+    gossip = FakeGossip()
     sync.ConfigSync(
         settings=None,
         notes=notes,
-        gossip=peers,
+        gossip=gossip,
         session=None,
         metrics=metrics.Metrics(),
         clock=loop.time,
@@ -70,7 +70,7 @@
 
     monkeypatch.setattr(web, "fetch", fetch)
     for at, version, peer in events:
-        loop.call_at(at, peers.announce, version, peer, at)
+        loop.call_at(at, gossip.announce, version, peer, at)
     await asyncio.sleep(seconds)
     return notes.config.version
 
