--- a/sycamoreshed/config/schema.py
+++ b/sycamoreshed/config/schema.py
@@ -1,7 +1,8 @@
-"""The documents operators write: the configuration and its changes.
+"""Schema of the configuration and of release notes.
 
-A release note lists what is added, changed and withdrawn.  Each of the
-three has the same sections, so that one entry is described by one type.
+A release note lists entries by section: added and changed ones in full,
+withdrawn ones by name.  All use the same sections, so that one type
+describes an entry wherever it occurs.
 """
 
 import typing
@@ -35,11 +36,12 @@
 
 
 class ServiceSpec(typing.TypedDict):
-    """A pool of like endpoints: engines, encoders, a plain service.
+    """A group of equivalent endpoints: engines, encoders, a plain service.
 
-    ``repeatable`` false means that a call may not be sent twice.
-    ``lookup`` tells that an endpoint can be asked, by key, what became of
-    a call.
+    Only ``engine`` is treated specially; the other kinds are alike.
+    ``repeatable`` false means that a call must not be sent twice.
+    ``lookup`` means that an endpoint can be queried for the outcome
+    of a call by its idempotency key.
     """
 
     kind: typing.Literal["engine", "pool", "plain"]
@@ -49,7 +51,11 @@
 
 
 class StageSpec(typing.TypedDict):
-    """One stage of a pipeline; ``share`` is its part of the deadline."""
+    """One stage of a pipeline.
+
+    ``share`` is its weight when the remaining time of a request is divided
+    among the remaining stages.
+    """
 
     name: str
     service: str
@@ -58,7 +64,11 @@
 
 
 class PipelineSpec(typing.TypedDict):
-    """What callers call: stages in order and the default deadline."""
+    """A pipeline that teams can call: its stages and default deadline.
+
+    ``teams`` and ``regions`` restrict who may call it and where; absent
+    or empty, they do not.
+    """
 
     stages: typing.Annotated[list[StageSpec], msgspec.Meta(min_length=1)]
     deadline_ms: Positive
@@ -67,7 +77,7 @@
 
 
 class TeamSpec(typing.TypedDict):
-    """Limits and weight of a team, for the whole system."""
+    """System-wide rate limit and scheduling weight of a team."""
 
     rate: Positive
     burst: typing.NotRequired[Positive]
@@ -75,9 +85,11 @@
 
 
 class EndpointSpec(typing.TypedDict):
-    """One endpoint.  ``checks_orders``: refuses old fencing numbers.
+    """One endpoint of a service.
 
-    ``rack`` names what fails as one; replicas are spread over racks.
+    ``checks_orders`` means that it rejects orders with an outdated
+    fencing token.
+    ``rack`` names its failure domain; replicas are spread over racks.
     """
 
     address: str
@@ -89,11 +101,11 @@
 
 
 class PlacementSpec(typing.TypedDict):
-    """A model version and how many engines of each zone serve it.
+    """A model version and the number of engines per zone that serve it.
 
-    ``floor`` engines of a zone go on serving while versions change, one
-    less than the replicas if it is left out.  ``weight_bytes`` is what
-    one load takes from the weight store.
+    ``floor`` is the number of engines per zone that must keep serving
+    during a version change; the default is one less than the replicas.
+    ``weight_bytes`` is what one load reads from the weight store.
     """
 
     model: str
@@ -117,7 +129,7 @@
 
 
 class Withdrawn(typing.TypedDict):
-    """Names withdrawn, by section."""
+    """Names of withdrawn entries by section."""
 
     regions: typing.NotRequired[list[str]]
     services: typing.NotRequired[list[str]]
@@ -128,7 +140,11 @@
 
 
 class Document(typing.TypedDict):
-    """A configuration, or part number ``part`` of ``parts`` of one."""
+    """A full configuration, or one part of it.
+
+    ``part`` is the number of this part, from zero, out of ``parts``.
+    ``withdrawn`` names the withdrawn pipelines.
+    """
 
     version: int
     part: int
@@ -138,7 +154,7 @@
 
 
 class Note(typing.TypedDict):
-    """A release note, written on version ``base``."""
+    """A release note that applies to version ``base``."""
 
     id: str
     base: typing.Annotated[int, msgspec.Meta(ge=0)]
--- a/sycamoreshed/notes/snapshots.py
+++ b/sycamoreshed/notes/snapshots.py
@@ -1,8 +1,9 @@
 """Snapshots of the configuration in the object store.
 
-Every `EVERY` versions the instance that accepted the last note stores
-the whole configuration and then raises a pointer row in the table.  A
-starting instance loads the newest snapshot and the notes after it.
+Every `SNAPSHOT_INTERVAL` versions, the instance that accepted the last
+note stores the full configuration and then adds it to a manifest row in the
+table.  A starting instance loads the latest snapshot and the notes after
+it.
 """
 
 from loguru import logger
@@ -14,45 +15,49 @@
 from sycamoreshed.kernel import kernel
 from sycamoreshed.notes import rows
 
-__all__ = ["Snapshots", "after_storing"]
+__all__ = ["Snapshots", "add_snapshot"]
 
-EVERY = 50
-# With those before swept, notes reach back some three days.
-MOST_SNAPSHOTS = 40
-MOST_SWEPT = 100
-MOST_PARTS = 100
+SNAPSHOT_INTERVAL = 50
+# Older snapshots, and the notes up to the oldest one retained, are deleted.
+# The remaining 2,000 notes cover almost three days at 720 notes a day.
+MAX_SNAPSHOTS = 40
+MAX_DELETED_NOTES = 100
+MAX_DELETED_PARTS = 100
 
 
-def after_storing(pointer, version):
-    """Return the pointer after a snapshot, and the snapshots to delete.
+def add_snapshot(manifest, version):
+    """Add a snapshot to the manifest and select the snapshots to delete.
+
+    A version that is not above the latest one is ignored.
 
     Parameters
     ----------
-    pointer : Pointer
+    manifest : Manifest
     version : int
-        Of the stored snapshot.
+        Version of the stored snapshot.
 
     Returns
     -------
-    tuple of Pointer and list of int
+    tuple of Manifest and list of int
+        The new manifest, and the versions to delete.
 
     Examples
     --------
-    >>> after_storing({"versions": [50]}, 100)
+    >>> add_snapshot({"versions": [50]}, 100)
     ({'versions': [50, 100]}, [])
-    >>> after_storing({"versions": [50, 100]}, 60)
+    >>> add_snapshot({"versions": [50, 100]}, 60)
     ({'versions': [50, 100]}, [])
     """
-    versions = pointer["versions"]
+    versions = manifest["versions"]
     if versions and version <= versions[-1]:
-        return pointer, []
+        return manifest, []
     versions = [*versions, version]
-    kept = versions[-MOST_SNAPSHOTS:]
-    return rows.Pointer(versions=kept), versions[: -len(kept)]
+    retained = versions[-MAX_SNAPSHOTS:]
+    return rows.Manifest(versions=retained), versions[: -len(retained)]
 
 
 class Snapshots:
-    """Stores, loads and sweeps snapshots.
+    """Stores, loads and deletes snapshots.
 
     Parameters
     ----------
@@ -63,24 +68,28 @@
     def __init__(self, *, table, objects):
         self._table = table
         self._objects = objects
-        self._newest = 0
+        self._latest_version = 0
         self._storing = False
 
-    async def newest(self, *, at=None):
-        """Load the newest snapshot, or the newest up to version `at`.
+    async def load_latest(self, *, max_version=None):
+        """Load the latest snapshot, optionally up to `max_version`.
 
         Returns
         -------
         Config, None or Failure
-            None if there is no snapshot.
+            None if there is no such snapshot.
         """
-        row = await self._table.read(rows.POINTER)
+        row = await self._table.read(rows.MANIFEST_KEY)
         if isinstance(row, kinds.Failure):
             return row
         versions = row.value["versions"] if row.value else []
         if versions:
-            self._newest = max(self._newest, versions[-1])
-        usable = [item for item in versions if at is None or item <= at]
+            self._latest_version = max(self._latest_version, versions[-1])
+        usable = [
+            item
+            for item in versions
+            if max_version is None or item <= max_version
+        ]
         if not usable:
             return None
         return await self._load(usable[-1])
@@ -91,11 +100,15 @@
         Returns
         -------
         bool
-            Whether one was stored.
+            Whether a snapshot was stored.
         """
-        if self._storing or config.version - self._newest < EVERY:
+        if (
+            self._storing
+            or config.version - self._latest_version < SNAPSHOT_INTERVAL
+        ):
             return False
-        # Notes accepted while one is being stored would each store one.
+        # Without this flag, every note accepted while a snapshot is being
+        # stored would start another.
         self._storing = True
         try:
             return await self._store_if_due(config)
@@ -103,33 +116,33 @@
             self._storing = False
 
     async def _store_if_due(self, config):
-        row = await self._table.read(rows.POINTER)
+        row = await self._table.read(rows.MANIFEST_KEY)
         if isinstance(row, kinds.Failure):
             return False
-        pointer = row.value or rows.Pointer(versions=[])
-        if pointer["versions"]:
-            self._newest = pointer["versions"][-1]
-        if config.version - self._newest < EVERY:
+        manifest = row.value or rows.Manifest(versions=[])
+        if manifest["versions"]:
+            self._latest_version = manifest["versions"][-1]
+        if config.version - self._latest_version < SNAPSHOT_INTERVAL:
             return False
         if not await self._store(config):
             return False
-        changed, dropped = after_storing(pointer, config.version)
-        # Only once the object is there: a pointer to none would leave
-        # starting instances without a configuration.
+        new_manifest, excess = add_snapshot(manifest, config.version)
+        # The manifest is written only after all parts: listing a missing
+        # object would leave starting instances without a configuration.
         result = await self._table.write(
-            tables.Write(rows.POINTER, changed, row.version)
+            tables.Write(rows.MANIFEST_KEY, new_manifest, row.version)
         )
         if isinstance(result, tables.Conflict):
-            # Another instance was faster; nothing would name this one,
-            # and so nothing would ever delete it.
-            named = (result.rows[0].value or {}).get("versions", ())
-            if config.version not in named:
+            # Another instance wrote the manifest first.  A snapshot that
+            # the manifest does not list would never be deleted.
+            listed = (result.rows[0].value or {}).get("versions", ())
+            if config.version not in listed:
                 await self._delete(config.version)
         if not isinstance(result, tables.Written):
             return False
-        self._newest = config.version
+        self._latest_version = config.version
         logger.bind(version=config.version).info("snapshot stored")
-        await self._sweep(changed["versions"][0], dropped)
+        await self._delete_excess(new_manifest["versions"][0], excess)
         return True
 
     async def _load(self, version):
@@ -150,37 +163,41 @@
 
     async def _store(self, config):
         for number in range(state.count_parts(config)):
-            stored = await self._objects.put(
+            result = await self._objects.put(
                 rows.object_name(config.version, number),
                 state.document_part(config, number),
             )
-            if isinstance(stored, kinds.Failure):
+            if isinstance(result, kinds.Failure):
                 return False
         return True
 
     async def _delete(self, version):
-        for number in range(MOST_PARTS):
+        for number in range(MAX_DELETED_PARTS):
             name = rows.object_name(version, number)
             if await self._objects.delete(name) is not True:
                 return
 
-    async def _sweep(self, oldest, dropped):
-        """Delete dropped snapshots and notes up to the oldest kept.
+    async def _delete_excess(self, oldest, excess):
+        """Delete excess snapshots and, if any, old notes.
 
         Notes
         -----
-        At most `MOST_SWEPT` notes go at a time, so that a sweep is never
-        a burst of writes; as many come between two snapshots at most.
+        Notes are deleted up to the oldest retained snapshot, at most
+        `MAX_DELETED_NOTES` at a time to avoid a burst of writes.  Normally
+        no more than that are accepted between two snapshots, so that
+        deletion keeps up.
         """
-        for version in dropped:
+        for version in excess:
             await self._delete(version)
-        found = await self._table.scan(rows.PREFIX, limit=MOST_SWEPT)
-        if isinstance(found, kinds.Failure):
+        note_rows = await self._table.scan(
+            rows.NOTE_PREFIX, limit=MAX_DELETED_NOTES
+        )
+        if isinstance(note_rows, kinds.Failure):
             return
         writes = [
             tables.Write(row.key, None, row.version)
-            for row in found
-            if rows.version_of(row.key) <= oldest and dropped
+            for row in note_rows
+            if rows.version_of(row.key) <= oldest and excess
         ]
         if writes:
             await self._table.write(*writes)
