--- a/sycamoreshed/forwarding/__init__.py
+++ b/sycamoreshed/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Passing a request on to an endpoint and its answer back."""
+"""Forwarding of requests to endpoints and of the answers to callers."""
--- a/sycamoreshed/forwarding/attempts.py
+++ b/sycamoreshed/forwarding/attempts.py
@@ -1,9 +1,9 @@
-"""Sends a request to endpoints until one has answered it.
+"""Attempts at a request on different endpoints, with retries.
 
-What may be sent again follows from the request alone: any request as long
-as no endpoint can have run it, and idempotent ones after that as well.
-Each sending after the first is taken from a budget that all instances
-share, and counts as one of the attempts the route allows.
+Whether a request may be retried depends on the request alone: any request
+may be retried while no endpoint can have run it, an idempotent one also
+after that.  Each retry is taken from the retry budget that all instances
+share, and counts as one of the attempts that the route allows.
 """
 
 import math
@@ -16,17 +16,18 @@
 
 __all__ = ["Attempts", "Ended", "Opened"]
 
-# For a request that may run again, or a stream that may be resumed: an
-# endpoint that has not begun to answer after this many times the target is
-# taken for dead, while another one may still answer in time.
-PATIENCE_FACTOR = 2.0
-LEAST_PATIENCE_S = 0.5
+# Time limit of an attempt as a multiple of the route's target, for requests
+# that may run again and streams that may be resumed.  An endpoint that has not
+# begun to answer by then is considered failed while another one may still
+# answer in time.
+TIMEOUT_TARGETS = 2.0
+MIN_TIMEOUT_S = 0.5
 
 
 class Opened(typing.NamedTuple):
-    """The head of an endpoint's answer, whose body is to be read.
+    """The head of an endpoint's answer, whose body is still to be read.
 
-    ``response`` must be closed, and `Attempts.closed` called.
+    ``response`` must be closed and `Attempts.close` called.
     """
 
     endpoint: typing.Any
@@ -34,17 +35,17 @@
 
 
 class Ended(typing.NamedTuple):
-    """An endpoint's whole answer.
+    """A full answer of an endpoint.
 
     Parameters
     ----------
     endpoint : Endpoint
     answer : FullAnswer
     failure : Failure or None
-        What is wrong with it, if anything.
+        Why the answer is not a success.
     is_final : bool
-        Whether the caller gets the answer as it stands; otherwise it is
-        told the failure.
+        Whether the answer is passed on to the caller unchanged; otherwise
+        the caller gets the failure.
     """
 
     endpoint: typing.Any
@@ -60,16 +61,16 @@
     ----------
     request : Request
     parts : Parts
-        What all requests share.
+        Components that all requests share.
     inputs : list of str
-        Handles of results of stages.
-    held : dict of str to int
+        Handles of the stage results that the endpoint fetches.
+    result_bytes : dict of str to int
         Bytes of those results in each zone.
     release : Release or None
         Frees the inputs; None if there are none.
     renew : coroutine function
-        Takes the seconds left; returns the inputs made again, or a
-        `Failure`.
+        Takes the remaining seconds.  Runs the stages again and returns the
+        new inputs or a `Failure`.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         request,
         parts,
         inputs=(),
-        held=None,
+        result_bytes=None,
         release=None,
         renew=None,
     ):
@@ -87,7 +88,7 @@
         self._inputs = inputs
         self._release = release
         self._renew = renew
-        self._held = held or {}
+        self._result_bytes = result_bytes or {}
         self._tried = set()
         self._sent = 0
         self._may_have_run = False
@@ -95,16 +96,16 @@
 
     @property
     def may_have_run(self):
-        """Whether an endpoint may have begun to work on the request."""
+        """Whether an endpoint may have started to run the request."""
         return self._may_have_run
 
     async def open(self, *, last_event_id=None):
-        """Send the request until an endpoint takes it.
+        """Send the request until an endpoint accepts it.
 
         Parameters
         ----------
         last_event_id : str, optional
-            For a stream that goes on.
+            Last event that was passed on, after which a stream resumes.
 
         Returns
         -------
@@ -115,33 +116,33 @@
         last = None
         while True:
             now = parts.clock()
-            left = request.deadline - now
+            remaining_s = request.deadline - now
             if last_event_id is None:
-                left = request.answer_start_deadline - now
-            if left <= 0:
+                remaining_s = request.answer_start_deadline - now
+            if remaining_s <= 0:
                 return self._fail(kinds.Kind.LATE, "no time left")
             choice = self._choose(now)
             if choice is None and last is not None:
-                # An endpoint's own answer tells more than that there is
-                # nobody else to ask.
+                # The answer of an endpoint is more informative than a failure
+                # for lack of further endpoints.
                 return last
             if choice is None:
                 return self._fail(
                     kinds.Kind.NO_ENDPOINT, f"no endpoint of {request.service}"
                 )
             if self._release is not None and self._release.freed:
-                inputs = await self._renew(left)
+                inputs = await self._renew(remaining_s)
                 if isinstance(inputs, kinds.Failure):
                     return inputs._replace(sent=self._may_have_run)
                 self._inputs = inputs
                 self._release.freed = False
-                # That took time, in which endpoints came and went.
+                # Endpoints may have joined or left meanwhile.
                 continue
             result = await self._send(
                 choice,
                 request.deadline - now,
                 last_event_id,
-                self._within(left, choice),
+                self._timeout(remaining_s, choice),
             )
             if isinstance(result, Opened):
                 return result
@@ -154,25 +155,25 @@
             if not self.may_retry(failure):
                 return result
 
-    def begun(self):
-        """Note that an endpoint has begun its answer."""
+    def record_answer_start(self):
+        """Record that an endpoint has begun its answer."""
         if self._release is not None:
-            self._release.begun()
+            self._release.record_answer_start()
 
-    def closed(self, opened):
-        """Note that the body of an answer is done with."""
+    def close(self, opened):
+        """Close an answer whose body has been read or abandoned."""
         opened.response.close()
-        self._parts.placer.end(opened.endpoint)
+        self._parts.placer.record_end(opened.endpoint)
 
-    def failed(self, endpoint, failure, began, *, reachable=True):
-        """Note a failed attempt."""
+    def record_failure(self, endpoint, failure, started_at, *, reachable=True):
+        """Record a failed attempt."""
         now = self._parts.clock()
         if self._release is not None:
-            # Another endpoint may still find the inputs.
+            # The inputs are kept for the attempt at the next endpoint.
             self._release.cancel()
         if failure.sent:
             self._may_have_run = True
-        # Inputs that are gone are no fault of the endpoint that says so.
+        # Missing inputs are not the fault of the endpoint that reports them.
         if not self.inputs_gone:
             self._parts.health.record_failure(
                 endpoint, now, failure.reason, reachable=reachable
@@ -184,11 +185,11 @@
             attempt=len(self._tried),
             why=failure.reason,
             sent=failure.sent,
-            took_s=round(now - began, 4),
+            took_s=round(now - started_at, 4),
         )
 
     def may_retry(self, failure):
-        """Return whether the request is sent again after a failure."""
+        """Return whether to retry after a failure; spend budget if so."""
         request, parts = self._request, self._parts
         now = parts.clock()
         why = None
@@ -202,35 +203,37 @@
             request.service, now, parts.peers.count()
         ):
             why = "budget spent"
-        left = parts.budget.left(request.service, now, parts.peers.count())
+        budget = parts.budget.remaining(
+            request.service, now, parts.peers.count()
+        )
         parts.journal.write(
             "retry" if why is None else "no_retry",
             request=request.id,
             attempt=self._sent + 1,
             why=why or failure.reason,
-            budget=round(left, 1),
+            budget=round(budget, 1),
         )
         return why is None
 
-    def _within(self, left, choice):
-        """Return the seconds until an attempt is given up for another.
+    def _timeout(self, remaining_s, choice):
+        """Return the seconds until an attempt is abandoned for another.
 
-        Silence alone is no reason: without another endpoint to go to it
-        would turn a late answer into none.
+        Without another endpoint a slow one is waited for until the end of
+        the remaining time: a late answer is better than none.
         """
         route = self._request.route
         last = self._sent + 1 >= route.max_attempts
-        if last or not self._request.can_rerun or choice.of < 2:
-            return left
-        patience = max(LEAST_PATIENCE_S, PATIENCE_FACTOR * route.target_s)
-        return min(left, patience)
+        if last or not self._request.can_rerun or choice.candidates < 2:
+            return remaining_s
+        timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_TARGETS * route.target_s)
+        return min(remaining_s, timeout_s)
 
     def _choose(self, now):
         parts, request = self._parts, self._request
         service = parts.catalog.configuration.services.get(request.service)
-        most = math.inf
+        max_in_flight = math.inf
         if service is not None:
-            most = placement.connection_share(
+            max_in_flight = placement.connection_share(
                 service.max_connections, parts.peers.count()
             )
         choice = parts.placer.choose(
@@ -240,8 +243,8 @@
             affinity=request.affinity,
             shared_tokens=request.shared_tokens,
             body_bytes=len(request.body),
-            held=self._held,
-            most=most,
+            result_bytes=self._result_bytes,
+            max_in_flight=max_in_flight,
         )
         if choice is not None:
             parts.journal.write(
@@ -249,54 +252,56 @@
                 request=request.id,
                 endpoint=choice.endpoint.id,
                 attempt=len(self._tried) + 1,
-                of=choice.of,
+                of=choice.candidates,
                 in_flight=parts.placer.in_flight(choice.endpoint),
                 age_s=round(parts.catalog.age("endpoints", now), 2),
-                why=choice.why,
+                why=choice.reason,
             )
         return choice
 
-    async def _send(self, choice, left, last_event_id, timeout_s):
+    async def _send(self, choice, remaining_s, last_event_id, timeout_s):
         parts, request = self._parts, self._request
         endpoint = choice.endpoint
         self._tried.add(endpoint.id)
-        # Of this attempt only: were it still set when a later engine has
-        # answered, the request would be run once more.
+        # The flag describes the current attempt only.  Were it still set
+        # after a later endpoint has answered, the request would run again.
         self.inputs_gone = False
         headers = parts.codec.forwarded_headers(
             request.headers,
             team=request.team.name if request.team else None,
             endpoint=endpoint.id,
-            left_s=left,
+            left_s=remaining_s,
             priority=request.priority.level,
             inputs=self._inputs,
             last_event_id=last_event_id,
         )
-        began = parts.clock()
-        parts.placer.begin(endpoint)
+        started_at = parts.clock()
+        parts.placer.record_start(endpoint)
         if self._inputs:
-            self._release.sent(endpoint)
-        keep = False
-        # If this is cancelled the request may have left.
+            self._release.record_sent(endpoint)
+        is_open = False
+        # The result on cancellation: the request may have been sent.
         result = kinds.Failure(kinds.Kind.INTERNAL, "cancelled", sent=True)
         try:
             result = await self._exchange(endpoint, headers, timeout_s)
-            keep = isinstance(result, Opened)
+            is_open = isinstance(result, Opened)
             return result
         finally:
-            if not keep:
-                parts.placer.end(endpoint)
-            self._note(endpoint, result, began)
+            if not is_open:
+                parts.placer.record_end(endpoint)
+            self._record(endpoint, result, started_at)
 
-    def _note(self, endpoint, result, began):
+    def _record(self, endpoint, result, started_at):
         if isinstance(result, Ended):
             if result.failure is not None:
-                self.failed(endpoint, result.failure, began)
+                self.record_failure(endpoint, result.failure, started_at)
         elif isinstance(result, kinds.Failure):
             if result.kind is kinds.Kind.INTERNAL:
                 self._may_have_run = True
                 return
-            self.failed(endpoint, result, began, reachable=result.sent)
+            self.record_failure(
+                endpoint, result, started_at, reachable=result.sent
+            )
 
     async def _exchange(self, endpoint, headers, timeout_s):
         parts, request = self._parts, self._request
@@ -329,9 +334,9 @@
             if verdict in ("not-run", "elsewhere"):
                 return answer._replace(sent=False)
             return answer
-        return self._judged(endpoint, answer, verdict)
+        return self._classify(endpoint, answer, verdict)
 
-    def _judged(self, endpoint, answer, verdict):
+    def _classify(self, endpoint, answer, verdict):
         if verdict == "done":
             self._parts.health.record_success(endpoint, self._parts.clock())
             return Ended(endpoint, answer)
@@ -339,15 +344,16 @@
         if answer.status == 409 and not sent:
             self.inputs_gone = True
             if self._release is not None:
-                self._release.gone()
+                self._release.record_inputs_gone()
         failure = kinds.Failure(
             kinds.Kind.REFUSED,
             f"endpoint answered {answer.status} ({verdict})",
             sent=sent,
         )
-        # A failure after a run is the endpoint's own answer and true; one
-        # that promises "not run" is told in our own words, with the time
-        # to come back, or not at all where the endpoint did not say so.
+        # The answer of a request that ran and failed is passed on unchanged.
+        # An answer whose status implies "not run" is replaced by an answer of
+        # this system, which carries the time to retry.  It states "not run"
+        # only if the endpoint did so explicitly.
         return Ended(endpoint, answer, failure, verdict == "failed")
 
     def _fail(self, kind, reason):
@@ -355,7 +361,7 @@
 
 
 class Parts(typing.NamedTuple):
-    """What the attempts at all requests share."""
+    """Components that the attempts at all requests share."""
 
     catalog: typing.Any
     placer: typing.Any
@@ -382,7 +388,7 @@
     ),
 )
 async def attempts(core):
-    """Provide what attempts share."""
+    """Provide the components that attempts share."""
     yield Parts(
         catalog=core.part("catalog"),
         placer=core.part("placer"),
--- a/sycamoreshed/forwarding/budget.py
+++ b/sycamoreshed/forwarding/budget.py
@@ -1,15 +1,15 @@
-"""How often this instance may send requests once more."""
+"""Budget for the retries that this instance may send."""
 
 import collections
 import math
 
 from sycamoreshed.kernel import kernel
 
-__all__ = ["RetryBudget", "Window"]
+__all__ = ["RetryBudget", "SlidingWindow"]
 
 
-class Window:
-    """Counts events in the last few seconds, in slots.
+class SlidingWindow:
+    """Counts events in a sliding time window that is divided into slots.
 
     Parameters
     ----------
@@ -17,7 +17,7 @@
 
     Examples
     --------
-    >>> window = Window(span_s=10)
+    >>> window = SlidingWindow(span_s=10)
     >>> window.add(0.0)
     >>> window.count(9.0), window.count(12.0)
     (1, 0)
@@ -40,7 +40,7 @@
         self._total += count
 
     def count(self, now):
-        """Return the events of the last span."""
+        """Return the number of events in the window that ends at `now`."""
         oldest = math.floor(now / self._slot_s) - self.SLOTS
         while self._counts and self._counts[0][0] < oldest:
             self._total -= self._counts.popleft()[1]
@@ -48,73 +48,74 @@
 
 
 class RetryBudget:
-    """Share of this instance in a budget that all instances share.
+    """Share of one instance in a retry budget common to all instances.
 
-    Instances do not ask each other: each takes the ratio of its own
-    requests, and its share of the fixed part.  Together they then stay
-    within the whole, however they are cut off from each other.
+    Instances do not coordinate.  Each may use the ratio of its own requests
+    plus its share of the fixed part, so that all together stay within the
+    budget even while network partitions separate them.
 
     Parameters
     ----------
     ratio : float
-        Repeats for each request to a service, in a window.
+        Retries per request to a service in a window.
     slack : float
-        Repeats a window allows beyond that, to all instances together.
+        Fixed part: additional retries per window, of all instances
+        together.
     window_s : float
     """
 
-    # Some of it is left for what this instance does not see: repeats that
-    # arrive later than they were counted, and instances that started
-    # within the window and are not registered yet.
-    KEPT_SHARE = 0.75
+    # The remainder covers what this instance does not observe: retries that
+    # arrive later than they were counted, and instances that started within
+    # the window and are not registered yet.
+    USABLE_SHARE = 0.75
 
     def __init__(self, *, ratio, slack, window_s):
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
-        self._firsts = {}
-        self._repeats = {}
+        self._requests = {}
+        self._retries = {}
 
     def set_limits(self, ratio, slack):
-        """Take over other limits; what was spent stays counted."""
+        """Change the limits; retries that were counted stay counted."""
         self._ratio = ratio
         self._slack = slack
 
     def record_requests(self, service, now, count=1):
-        """Count requests to a service."""
-        self._window(self._firsts, service).add(now, count)
+        """Count requests to a service, without their retries."""
+        self._window(self._requests, service).add(now, count)
 
-    def left(self, service, now, instances):
-        """Return the repeats that may be sent to a service now.
+    def remaining(self, service, now, instances):
+        """Return how many retries may be sent to a service.
 
         Parameters
         ----------
         service : str
         now : float
         instances : int
-            How many share the fixed part.
+            Number of instances that share the fixed part.
         """
-        firsts = self._window(self._firsts, service).count(now)
-        repeats = self._window(self._repeats, service).count(now)
-        allowed = self._ratio * firsts + self._slack / max(1, instances)
-        return self.KEPT_SHARE * allowed - repeats
+        requests = self._window(self._requests, service).count(now)
+        retries = self._window(self._retries, service).count(now)
+        allowed = self._ratio * requests + self._slack / max(1, instances)
+        return self.USABLE_SHARE * allowed - retries
 
     def try_spend(self, service, now, instances, count=1):
-        """Take repeats to a service; return whether there were enough."""
-        if self.left(service, now, instances) < count:
+        """Count retries to a service; return False if too few remain."""
+        if self.remaining(service, now, instances) < count:
             return False
-        self._window(self._repeats, service).add(now, count)
+        self._window(self._retries, service).add(now, count)
         return True
 
     def _window(self, windows, service):
         if service not in windows:
-            windows[service] = Window(span_s=self._window_s)
+            windows[service] = SlidingWindow(span_s=self._window_s)
         return windows[service]
 
 
 @kernel.plugin("budget")
 async def budget(core):
-    """Provide this instance's share of the budget of repeats."""
+    """Provide this instance's `RetryBudget`."""
     settings = core.settings
     yield RetryBudget(
         ratio=settings.retry_ratio,
--- a/sycamoreshed/forwarding/client.py
+++ b/sycamoreshed/forwarding/client.py
@@ -1,4 +1,4 @@
-"""One request to an endpoint, on a connection of its own."""
+"""HTTP client that sends requests to endpoints."""
 
 import contextlib
 import functools
@@ -16,64 +16,64 @@
 
 __all__ = ["EndpointClient", "FullAnswer", "open_client", "read_full"]
 
-# A connection that is not open by then is taken for a network partition.
+# A connection that is not established by then indicates a network partition.
 CONNECT_S = 0.5
 MAX_HEADER_BYTES = 32768
-# An endpoint's host that lost power or is cut off sends no reset; without
-# probes a stream would wait for its next event for ever.
+# A host that lost power or is partitioned sends no reset; without keepalive
+# probes a stream would wait for its next event without end.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
 USER_TIMEOUT_MS = 3000
-# How long a kept connection may be idle.  Endpoints close theirs after a
-# timeout of a few seconds; under load one is used several times a second.
-KEPT_S = 2.0
+# Maximum idle time of a pooled connection.  Endpoints close idle connections
+# after a few seconds; under load one is used several times a second.
+MAX_IDLE_S = 2.0
 
 
 class Protocol(client_proto.ResponseHandler):
-    """A connection that tells whether the other side reset it.
+    """A connection that records whether the peer reset it.
 
     Notes
     -----
-    Where bytes and a reset arrive together, the event loop reports the
-    bytes and then a plain end, and never asks for the error that the
-    socket holds.  So it is asked for here, while the socket is open.
+    If data and a reset arrive together, the event loop reports the data and
+    then a plain end of file, and does not read the pending socket error.
+    The error is therefore read here, while the socket is open.
     """
 
     was_reset = False
 
     def eof_received(self):
-        """Take in the end of what the other side sends."""
-        found = self.transport.get_extra_info("socket")
-        if found.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+        """Handle the end of the data from the peer."""
+        peer = self.transport.get_extra_info("socket")
+        if peer.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self.was_reset = True
         return super().eof_received()
 
     def connection_lost(self, error):
-        """Take in the end of the connection."""
+        """Handle the end of the connection."""
         if error is not None:
             self.was_reset = True
         super().connection_lost(error)
 
 
 class Connector(web.Connector):
-    """Opens connections that tell how they ended; see `Protocol`."""
+    """Opens connections that record how they ended; see `Protocol`."""
 
-    def __init__(self, **more):
-        super().__init__(**more)
-        # The HTTP library has no public place for it; a test fails if
-        # this one changes.
+    def __init__(self, **options):
+        super().__init__(**options)
+        # The HTTP library has no public attribute for the protocol class; a
+        # test fails if this one changes.
         self._factory = functools.partial(Protocol, loop=self._loop)
 
 
 class Response(aiohttp.ClientResponse):
-    """A response that still knows its connection when it is whole.
+    """A response that keeps its connection after the body has ended.
 
     Notes
     -----
-    The HTTP library lets go of a connection as soon as the body has
-    ended, which it may have when the head is handed out.  How the
-    connection ended is then needed still; see `was_reset`.
+    The HTTP library releases a connection as soon as the body has ended,
+    which may be before the head is returned.  `was_reset` needs to know
+    afterwards how the connection ended.
     """
 
     protocol = None
@@ -85,7 +85,7 @@
 
 
 class FullAnswer(typing.NamedTuple):
-    """An answer with its whole body."""
+    """An answer with its full body."""
 
     status: int
     reason: str
@@ -96,45 +96,46 @@
 class EndpointClient:
     """Sends requests to endpoints.
 
-    Each request has a connection of its own.  On a kept one an answer
-    that comes twice, or late, would stand where the next request's is
-    expected, and a connection that the endpoint closes while a request is
-    on its way leaves open whether that request ran, which may then not be
-    sent again.  A new connection costs an endpoint about a millisecond.
+    Each request has a connection of its own.  On a pooled connection a
+    duplicate or late answer would be taken for the answer to the next
+    request.  If the endpoint closed a pooled connection while a request was
+    in transit, the outcome of that request would be unknown, and it could
+    not be retried.  A new connection costs an endpoint about a millisecond.
 
-    Calls whose answers tell nothing and that may be repeated have kept
+    Idempotent calls whose answers carry no information use pooled
     connections, on which nothing else is sent.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
         Opens a connection for each request.
-    kept : aiohttp.ClientSession
-        Keeps connections.
+    pooled : aiohttp.ClientSession
+        Reuses connections.
     """
 
-    def __init__(self, *, session, kept):
+    def __init__(self, *, session, pooled):
         self._session = session
-        self._kept = kept
+        self._pooled = pooled
 
     async def post_idempotent(
         self, address, target, headers, body, *, timeout_s
     ):
-        """Send a call that may be repeated and whose answer tells nothing.
+        """Send an idempotent call whose answer carries no information.
 
-        A third of all connections to endpoints were opened to free
-        results; each costs the endpoint a millisecond of its time.
+        The call uses a pooled connection.  With a new connection per call, a
+        third of all connections to endpoints would serve to free results,
+        and each costs the endpoint a millisecond.
 
         Returns
         -------
         FullAnswer or Failure
         """
-        for session in (self._kept, self._session):
+        for session in (self._pooled, self._session):
             response = await self._send(
                 session, "POST", address, target, headers, body, timeout_s
             )
-            # An endpoint may close a kept connection at any time; then the
-            # call is sent once more on a new one.
+            # An endpoint may close a pooled connection at any time; the call
+            # is then retried on a new one.
             if not isinstance(response, kinds.Failure):
                 return await read_full(response, timeout_s=timeout_s)
             if response.kind is kinds.Kind.LATE or not response.sent:
@@ -142,21 +143,21 @@
         return response
 
     async def send(self, method, address, target, headers, body, *, timeout_s):
-        """Send a request and return the answer once its head is there.
+        """Send a request and return once the head of the answer arrives.
 
         Parameters
         ----------
         method, address, target : str
-            The target is sent as it is.
+            The target is sent unchanged.
         headers : CIMultiDict
         body : bytes
         within : float
-            Seconds until the head must have come.
+            Time limit for the head of the answer.
 
         Returns
         -------
         aiohttp.ClientResponse or Failure
-            A response must be closed.
+            The caller must close a response.
         """
         return await self._send(
             self._session, method, address, target, headers, body, timeout_s
@@ -191,7 +192,7 @@
 
 
 async def read_full(response, *, timeout_s):
-    """Return the `FullAnswer` of a response, or a `Failure`."""
+    """Read a response; return a `FullAnswer` or a `Failure`."""
     try:
         async with limits.limit(max(timeout_s, 0.001)):
             body = await response.read()
@@ -211,19 +212,19 @@
 
 
 def was_reset(response):
-    """Return whether an answer that ends with its connection was cut.
+    """Return whether an answer that ends with its connection is truncated.
 
     Notes
     -----
-    Without length and chunks the end of the connection is the end of the
-    answer.  The HTTP library takes a reset for such an end as well, so a
-    caller would get the first half of an answer as if it were whole.
+    An answer with neither a length nor chunks ends with the connection.  The
+    HTTP library accepts a reset as such an end, so that a caller would get a
+    truncated answer as if it were complete.
     """
-    framed = (
+    is_framed = (
         "Content-Length" in response.headers
         or "Transfer-Encoding" in response.headers
     )
-    return not framed and response.protocol.was_reset
+    return not is_framed and response.protocol.was_reset
 
 
 def _failure(kind, error, *, sent):
@@ -231,29 +232,29 @@
 
 
 def open_socket(address_info):
-    """Return a socket that notices when the other host is gone."""
+    """Return a socket that detects that the peer host is unreachable."""
     family, kind, proto, _, _ = address_info
-    opened = socket.socket(family=family, type=kind, proto=proto)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock = socket.socket(family=family, type=kind, proto=proto)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
         (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
         (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
         (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     ):
-        opened.setsockopt(socket.IPPROTO_TCP, option, value)
-    return opened
+        sock.setsockopt(socket.IPPROTO_TCP, option, value)
+    return sock
 
 
 @contextlib.asynccontextmanager
 async def open_client():
-    """Open an `EndpointClient`; close its connections at the end."""
-    each = Connector(limit=0, force_close=True, socket_factory=open_socket)
-    keeping = Connector(
-        limit=0, keepalive_timeout=KEPT_S, socket_factory=open_socket
+    """Open an `EndpointClient`; close its connections on exit."""
+    unpooled = Connector(limit=0, force_close=True, socket_factory=open_socket)
+    pooling = Connector(
+        limit=0, keepalive_timeout=MAX_IDLE_S, socket_factory=open_socket
     )
-    async with _session(each) as session, _session(keeping) as kept:
-        yield EndpointClient(session=session, kept=kept)
+    async with _session(unpooled) as session, _session(pooling) as pooled:
+        yield EndpointClient(session=session, pooled=pooled)
 
 
 def _session(connector):
@@ -275,6 +276,6 @@
 
 @kernel.plugin("endpoint_client", needs=("sockets",))
 async def endpoint_client(core):
-    """Provide the client of endpoints."""
+    """Provide the `EndpointClient`."""
     async with open_client() as client:
         yield client
--- a/sycamoreshed/forwarding/forwarder.py
+++ b/sycamoreshed/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""The way of a request: its stages, its attempts, its answer."""
+"""Forwarding of a request: its stages, its attempts and its answer."""
 
 import random
 import typing
@@ -12,16 +12,16 @@
 
 __all__ = ["Forwarder", "Outcome", "pick_service"]
 
-# Share of the time to the target by which all results of stages should be
-# there, so that the engine can still read the prompt and begin in time.
-STAGES_AIM_SHARE = 0.85
-# Least time an engine needs after the last stage for an answer at all.
-ENGINE_LEAST_S = 0.2
-# For the stages of a stream that goes on at another engine: its caller
-# hangs up after two seconds without an event at the least.
-RENEW_AIM_S = 1.0
-# Runs of all stages of a request; results may expire before their use.
-MOST_CHAINS = 2
+# Share of the route's target time by which all stage results should be ready,
+# so that the engine can still do the prefill and begin its answer in time.
+STAGES_TARGET_SHARE = 0.85
+# Minimum time that an engine needs for an answer after the last stage.
+MIN_ENGINE_S = 0.2
+# Target time of stages that run again to resume a stream at another engine:
+# callers disconnect after two seconds without an event, at the earliest.
+RENEW_TARGET_S = 1.0
+# Runs of all stages of a request; results may expire before they are used.
+MAX_STAGE_RUNS = 2
 
 
 class Outcome(typing.NamedTuple):
@@ -30,9 +30,10 @@
     Parameters
     ----------
     answer : FullAnswer or None
-        An endpoint's, to be passed on as it is.
+        The answer of an endpoint, which is passed on unchanged.
     failure : Failure or None
-        To be told instead; with ``has_started`` the answer is cut off.
+        Reported to the caller instead of an answer; with ``has_started``
+        the answer is cut off.
     has_started : bool
         Whether a part of the answer has been passed on.
     endpoint : Endpoint or None
@@ -50,7 +51,7 @@
 
 
 def pick_service(route, choose=random.random):
-    """Return the service of one request, by the route's weights.
+    """Return a random service of a route, by the route's weights.
 
     Examples
     --------
@@ -61,16 +62,16 @@
     'b'
     """
     total = sum(weight for _, weight in route.services)
-    point = choose() * total
+    remaining = choose() * total
     for name, weight in route.services:
-        point -= weight
-        if point < 0:
+        remaining -= weight
+        if remaining < 0:
             return name
     return route.services[-1][0]
 
 
 class Forwarder:
-    """Takes requests through their stages to an endpoint.
+    """Runs the stages of requests and forwards the requests to endpoints.
 
     Parameters
     ----------
@@ -81,7 +82,7 @@
     def __init__(self, *, parts, stages):
         self._parts = parts
         self._stages = stages
-        self._fetch_times = input_release.FetchTimes(
+        self._fetch_delays = input_release.FetchDelays(
             distance=parts.placer.distance
         )
 
@@ -92,33 +93,37 @@
         ----------
         request : Request
         sink : Sink
-            Takes the events of a stream as they come.
+            Receives the events of a stream.
         """
         now = self._parts.clock()
         self._parts.budget.record_requests(request.service, now)
-        kept = []
+        results = []
         try:
-            return await self._with_stages(request, sink, kept)
+            return await self._run(request, sink, results)
         finally:
-            self._stages.free(kept)
+            self._stages.free(results)
 
-    async def _with_stages(self, request, sink, kept):
-        for _ in range(MOST_CHAINS):
-            inputs = await self._inputs(request, kept)
+    async def _run(self, request, sink, results):
+        for _ in range(MAX_STAGE_RUNS):
+            inputs = await self._run_stages(request, results)
             if isinstance(inputs, kinds.Failure):
-                # Work on pieces is no run of the request itself: it may
-                # be done again, and leaves no effect.
+                # Stages are not a run of the request itself: they have no
+                # effects and may be repeated.
                 return Outcome(failure=inputs._replace(sent=False))
             release = input_release.Release(
-                free=lambda: self._give_up(kept), times=self._fetch_times
+                free=lambda: self._free(results), delays=self._fetch_delays
             )
             tries = attempts.Attempts(
                 request=request,
                 parts=self._parts,
                 inputs=inputs,
-                held=self._stages.zone_bytes(inputs, request.route.stages),
+                result_bytes=self._stages.zone_bytes(
+                    inputs, request.route.stages
+                ),
                 release=release,
-                renew=lambda left: self._inputs(request, kept, renew_s=left),
+                renew=lambda remaining_s: self._run_stages(
+                    request, results, renew_s=remaining_s
+                ),
             )
             try:
                 outcome = await self._attempt(request, tries, sink)
@@ -130,36 +135,38 @@
                 return outcome
         return outcome
 
-    async def _inputs(self, request, kept, *, renew_s=None):
+    async def _run_stages(self, request, results, *, renew_s=None):
         """Run the stages; return handles of their results or a `Failure`.
 
         Parameters
         ----------
         renew_s : float, optional
-            Seconds left, if the results are made again.
+            Remaining seconds, if the stages run again.
         """
         stages = request.route.stages
         if not stages:
             return []
         counts = request.head.pieces
         if not counts:
-            # The engine judges a request that names none.
+            # The engine decides on a request without pieces.
             return []
         if len(counts) != len(stages):
             return kinds.Failure(
                 kinds.Kind.BAD_REQUEST, "pieces do not match the stages"
             )
         now = self._parts.clock()
-        target = request.route.target_s * STAGES_AIM_SHARE
-        aim_s = request.started_at - request.waited_s + target - now
-        until_s = request.stages_deadline - ENGINE_LEAST_S - now
-        limit_s = request.answer_start_deadline - ENGINE_LEAST_S - now
+        stages_target_s = request.route.target_s * STAGES_TARGET_SHARE
+        target_s = (
+            request.started_at - request.waited_s + stages_target_s - now
+        )
+        soft_limit_s = request.stages_deadline - MIN_ENGINE_S - now
+        hard_limit_s = request.answer_start_deadline - MIN_ENGINE_S - now
         if renew_s is not None:
-            aim_s = RENEW_AIM_S
-            # Given up earlier, one lost call, which takes two seconds to
-            # find, would cut a stream whose caller still waits.  A caller
-            # that has left ends the work by that.
-            until_s = limit_s = renew_s - ENGINE_LEAST_S
+            target_s = RENEW_TARGET_S
+            # The detection of a lost call takes two seconds.  An earlier
+            # deadline would cut the stream for one such call while its caller
+            # still waits; if the caller disconnects, the work is cancelled.
+            soft_limit_s = hard_limit_s = renew_s - MIN_ENGINE_S
         job = pieces.Job(
             request=request.id,
             stages=[
@@ -169,9 +176,9 @@
                 for stage, count in zip(stages, counts, strict=True)
             ],
             key=request.head.piece_key,
-            aim_s=aim_s,
-            until_s=until_s,
-            limit_s=limit_s,
+            aim_s=target_s,
+            until_s=soft_limit_s,
+            limit_s=hard_limit_s,
             team=request.team.name if request.team else None,
             team_priority=request.priority.team,
             priority=request.priority.route,
@@ -183,13 +190,13 @@
             shared_tokens=request.shared_tokens,
             body_bytes=len(request.body),
         )
-        return await self._stages.run(job, kept, wanted_in=zone)
+        return await self._stages.run(job, results, wanted_in=zone)
 
     async def _attempt(self, request, tries, sink):
         result = await tries.open()
         if isinstance(result, attempts.Opened):
-            sink.on_begin = tries.begun
-            result = await streams.pass_on(
+            sink.on_begin = tries.record_answer_start
+            result = await streams.forward_stream(
                 result, tries, request, sink, self._parts
             )
         if isinstance(result, streams.StreamEnd):
@@ -201,28 +208,28 @@
                 events=result.events,
             )
         if isinstance(result, attempts.Ended):
-            return self._ended(result)
+            return self._outcome(result)
         sent = result.sent or tries.may_have_run
         return Outcome(failure=result._replace(sent=sent))
 
-    def _ended(self, ended):
+    def _outcome(self, ended):
         if ended.is_final:
             return Outcome(answer=ended.answer, endpoint=ended.endpoint)
         return Outcome(failure=ended.failure, endpoint=ended.endpoint)
 
-    def _give_up(self, kept):
-        """Free the inputs; return whether there were any.
+    def _free(self, results):
+        """Free stage results; return whether there were any.
 
-        Endpoints have room for the results of a few requests only.
+        Endpoints have memory for the results of a few requests only.
         """
-        if not kept:
+        if not results:
             return False
-        self._stages.free(kept)
-        kept.clear()
+        self._stages.free(results)
+        results.clear()
         return True
 
 
 @kernel.plugin("forwarder", needs=("attempts", "stages"))
 async def forwarder(core):
-    """Provide the way of a request."""
+    """Provide the `Forwarder`."""
     yield Forwarder(parts=core.part("attempts"), stages=core.part("stages"))
--- a/sycamoreshed/forwarding/health.py
+++ b/sycamoreshed/forwarding/health.py
@@ -1,4 +1,4 @@
-"""Which endpoints are avoided, by how their answers came out."""
+"""Detection of failing endpoints from the outcomes of their requests."""
 
 import typing
 
@@ -6,32 +6,34 @@
 
 __all__ = ["Health"]
 
-# In a row; a single failure may be the request's own.
-FAILURES_OUT = 3
-AVOID_S = 1.0
-LONGEST_AVOID_S = 10.0
-# Share of recent answers that failed, and the least that must have been
-# seen.  Endpoints that fail a part of their requests answer others well in
-# between, so failures in a row do not show them; a service that fails one
-# read in seven at all times must stay below.
-GREY_SHARE = 0.4
-GREY_LEAST = 5
-# Weight of the newest answer in the share, the last ten or so count.
-GREY_WEIGHT = 0.15
-# Endpoints that are remembered; the oldest is forgotten first.
-MOST_KEPT = 4096
+# Consecutive failures after which an endpoint is avoided; a single failure
+# may be caused by the request.
+CONSECUTIVE_FAILURES = 3
+MIN_AVOID_S = 1.0
+MAX_AVOID_S = 10.0
+# Share of failed answers above which an endpoint is avoided, and the number
+# of answers that the share needs.  An endpoint that fails only a part of its
+# requests has successes in between, so that consecutive failures do not reveal
+# it.  A service that always fails one read in seven must stay below the share.
+FAILURE_SHARE = 0.4
+MIN_ANSWERS = 5
+# Weight of the newest answer in the moving average of failures, which covers
+# about the last ten answers.
+NEWEST_WEIGHT = 0.15
+# Endpoints whose state is stored; the oldest entry is evicted first.
+MAX_ENDPOINTS = 4096
 
 
 class _State(typing.NamedTuple):
-    failures: int = 0
-    until: float = 0.0
-    for_s: float = 0.0
-    share: float = 0.0
-    seen: int = 0
+    consecutive_failures: int = 0
+    avoid_until: float = 0.0
+    avoid_s: float = 0.0
+    failure_share: float = 0.0
+    answers: int = 0
 
 
 class Health:
-    """Evidence of this instance against endpoints.
+    """Health of endpoints as observed by this instance.
 
     Parameters
     ----------
@@ -43,58 +45,65 @@
         self._states = {}
 
     def is_avoided(self, endpoint, now):
-        """Return whether an endpoint is avoided for now."""
+        """Return whether an endpoint is avoided at a time."""
         state = self._states.get(endpoint.id)
-        return state is not None and now < state.until
+        return state is not None and now < state.avoid_until
 
     def record_success(self, endpoint, now):
-        """Count an answer that was right."""
+        """Count a valid answer."""
         state = self._states.get(endpoint.id)
         if state is None:
             return
-        if state.until and now >= state.until:
+        if state.avoid_until and now >= state.avoid_until:
             self._journal.write("endpoint_back", endpoint=endpoint.id)
-        # A good answer ends a row of failures; the share of failures goes
-        # down only by its weight.
-        share = state.share * (1 - GREY_WEIGHT)
-        until = state.until if now < state.until else 0.0
+        # A success resets the consecutive failures, but lowers the share of
+        # failures only by its weight.
+        share = state.failure_share * (1 - NEWEST_WEIGHT)
+        avoid_until = state.avoid_until if now < state.avoid_until else 0.0
         self._states[endpoint.id] = state._replace(
-            failures=0, share=share, seen=state.seen + 1, until=until
+            consecutive_failures=0,
+            failure_share=share,
+            answers=state.answers + 1,
+            avoid_until=avoid_until,
         )
 
-    def record_failure(self, endpoint, now, why, *, reachable=True):
-        """Count an answer that was wrong, or none.
+    def record_failure(self, endpoint, now, reason, *, reachable=True):
+        """Count a failed answer or a request without an answer.
 
         Parameters
         ----------
         reachable : bool
-            False if there was no connection: then nobody else's request
-            will get through either.
+            False if there was no connection.  The endpoint is then avoided
+            at once, since other requests would not reach it either.
         """
         state = self._states.get(endpoint.id, _State())
-        share = state.share * (1 - GREY_WEIGHT) + GREY_WEIGHT
+        share = state.failure_share * (1 - NEWEST_WEIGHT) + NEWEST_WEIGHT
         state = state._replace(
-            failures=state.failures + 1, share=share, seen=state.seen + 1
+            consecutive_failures=state.consecutive_failures + 1,
+            failure_share=share,
+            answers=state.answers + 1,
         )
-        row = state.failures >= FAILURES_OUT
-        grey = state.seen >= GREY_LEAST and share >= GREY_SHARE
-        if (row or grey or not reachable) and now >= state.until:
-            for_s = min(LONGEST_AVOID_S, max(AVOID_S, state.for_s * 2))
-            state = state._replace(until=now + for_s, for_s=for_s)
+        fails_always = state.consecutive_failures >= CONSECUTIVE_FAILURES
+        fails_often = state.answers >= MIN_ANSWERS and share >= FAILURE_SHARE
+        if (
+            fails_always or fails_often or not reachable
+        ) and now >= state.avoid_until:
+            avoid_s = min(MAX_AVOID_S, max(MIN_AVOID_S, state.avoid_s * 2))
+            state = state._replace(avoid_until=now + avoid_s, avoid_s=avoid_s)
             self._journal.write(
-                "endpoint_out", endpoint=endpoint.id, why=why, for_s=for_s
+                "endpoint_out", endpoint=endpoint.id, why=reason, for_s=avoid_s
             )
-        self._keep(endpoint.id, state)
+        self._store(endpoint.id, state)
 
-    def _keep(self, key, state):
-        # Each start of an endpoint has a new id; without a bound, those
-        # of years would be kept.
-        if len(self._states) >= MOST_KEPT and key not in self._states:
+    def _store(self, key, state):
+        # An endpoint gets a new id at each start; without a bound the states
+        # of all earlier ids would accumulate.
+        if len(self._states) >= MAX_ENDPOINTS and key not in self._states:
             del self._states[next(iter(self._states))]
         self._states[key] = state
 
 
 @kernel.plugin("health", needs=("journal",))
 async def health(core):
-    """Provide this instance's evidence against endpoints."""
+    """Provide this instance's `Health`."""
     yield Health(journal=core.part("journal"))
--- a/sycamoreshed/forwarding/placement.py
+++ b/sycamoreshed/forwarding/placement.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint of a request."""
+"""Selection of the endpoint that serves a request."""
 
 import math
 import types
@@ -9,38 +9,41 @@
 
 __all__ = ["Choice", "Placer", "connection_share"]
 
-# A prefix's own endpoint is skipped when it has this many more requests in
-# flight than the least loaded one: reading the prompt again is cheaper then.
+# The endpoint of a prefix is skipped if it has this many more requests in
+# flight than the least loaded one: repeating the prefill is then cheaper than
+# waiting.
 AFFINITY_SLACK = 4
-# The cheapest zone is left when its least loaded endpoint has this many more
-# requests in flight than the least loaded of all.
+# Requests spill over from the cheapest zone if its least loaded endpoint has
+# this many more requests in flight than the least loaded one of all zones.
 SPILL_SLACK = 8
-# Cost of a byte that crosses on the way of a request, relative to a byte of
-# results that an engine fetches from another zone.
-REGION_WEIGHT = 120.0
-ZONE_WEIGHT = 4.0
-# Head and answer, which cross besides the body.
+# Cost of a request or response byte that crosses regions or zones, relative
+# to a byte of stage results that an engine fetches from another zone.
+REGION_BYTE_COST = 120.0
+ZONE_BYTE_COST = 4.0
+# Bytes of the request head and of the answer, which are transferred besides
+# the request body.
 OVERHEAD_BYTES = 4000
-# Cost of a round trip to another region, in bytes of results; see
+# Cost of a round trip to another region, in bytes of stage results; see
 # `delegation.CROSSING_S_MB`.
-REGION_WAY = 1e6
-# Cost of a token of a shared prefix that an engine reads again, in bytes of
-# results: all requests of the engine wait meanwhile.
-REREAD_WEIGHT = 2500.0
+REGION_TRIP_COST = 1e6
+# Cost of prefilling a token of a shared prefix again, in bytes of stage
+# results: a prefill delays all requests of the engine.
+PREFILL_TOKEN_COST = 2500.0
 
 
-def connection_share(most, instances):
-    """Return how many connections of an endpoint an instance may have.
+def connection_share(max_connections, instances):
+    """Return how many connections to an endpoint an instance may open.
 
-    An endpoint resets those beyond what it takes from all instances
-    together.  Whether a request that was sent on one of them ran is then
-    unknown, and one that may run once only is lost to its caller; refused
-    before it is sent, it can come back.
+    An endpoint accepts a limited number of connections from all instances
+    together and resets any further ones.  A request that was sent on a
+    connection that is reset has an unknown outcome, and is lost to its
+    caller if it may run only once.  A request that is rejected before it
+    is sent can be retried.
 
     Parameters
     ----------
-    most : int
-        Connections the endpoint takes.
+    max_connections : int
+        Connections that the endpoint accepts.
     instances : int
 
     Examples
@@ -48,32 +51,32 @@
     >>> connection_share(110, 9), connection_share(5, 9)
     (12, 1)
     """
-    return max(1, most // max(1, instances))
+    return max(1, max_connections // max(1, instances))
 
 
 class Choice(typing.NamedTuple):
-    """An endpoint, and why it was chosen.
+    """A selected endpoint and the reason for the selection.
 
     Parameters
     ----------
     endpoint : Endpoint
-    why : str
-    of : int
-        Endpoints that are not avoided and had not been tried.
+    reason : str
+    candidates : int
+        Number of available endpoints that are not avoided.
     """
 
     endpoint: typing.Any
-    why: str
-    of: int
+    reason: str
+    candidates: int
 
 
 class Placer:
-    """Chooses endpoints by zone, health, prefix and load.
+    """Selects endpoints by zone, health, prompt prefix and load.
 
     Parameters
     ----------
     zone : str
-        Of this instance.
+        Zone of this instance.
     regions : dict of str to str
         Region of each zone.
     health : Health
@@ -86,18 +89,18 @@
         self._in_flight = {}
 
     def in_flight(self, endpoint):
-        """Return the requests this instance has at an endpoint."""
+        """Return how many requests of this instance an endpoint has."""
         return self._in_flight.get(endpoint.id, 0)
 
-    def begin(self, endpoint):
-        """Count a request sent to an endpoint."""
+    def record_start(self, endpoint):
+        """Count a request that is sent to an endpoint."""
         self._in_flight[endpoint.id] = self.in_flight(endpoint) + 1
 
-    def end(self, endpoint):
+    def record_end(self, endpoint):
         """Count the end of a request at an endpoint."""
-        left = self.in_flight(endpoint) - 1
-        if left > 0:
-            self._in_flight[endpoint.id] = left
+        remaining = self.in_flight(endpoint) - 1
+        if remaining > 0:
+            self._in_flight[endpoint.id] = remaining
         else:
             self._in_flight.pop(endpoint.id, None)
 
@@ -108,13 +111,18 @@
         same = self._regions.get(zone) == self._regions.get(self._zone)
         return 1 if same else 2
 
-    def crossing(self, zone, body_bytes, held):
-        """Return the weighted bytes that cross if a zone is chosen."""
+    def transfer_cost(self, zone, body_bytes, result_bytes):
+        """Return the cost of the transfers if a zone is selected.
+
+        The unit is a byte of stage results that crosses zones.
+        """
         distance = self.distance(zone)
-        weight = (0.0, ZONE_WEIGHT, REGION_WEIGHT)[distance]
-        way = (0.0, 0.0, REGION_WAY)[distance]
-        fetched = sum(size for each, size in held.items() if each != zone)
-        return weight * (body_bytes + OVERHEAD_BYTES) + way + fetched
+        byte_cost = (0.0, ZONE_BYTE_COST, REGION_BYTE_COST)[distance]
+        trip_cost = (0.0, 0.0, REGION_TRIP_COST)[distance]
+        fetched = sum(
+            size for each, size in result_bytes.items() if each != zone
+        )
+        return byte_cost * (body_bytes + OVERHEAD_BYTES) + trip_cost + fetched
 
     def choose(
         self,
@@ -125,29 +133,31 @@
         affinity=None,
         shared_tokens=0,
         body_bytes=0,
-        held=types.MappingProxyType({}),
-        most=math.inf,
+        result_bytes=types.MappingProxyType({}),
+        max_in_flight=math.inf,
     ):
-        """Choose an endpoint, or return None if there is none.
+        """Select an endpoint, or return None if none is available.
 
         Parameters
         ----------
         endpoints : iterable of Endpoint
-            Of one service, none of them leaving.
+            Endpoints of one service, without those that are leaving.
         now : float
             Monotonic time in seconds.
         tried : collection of str
-            Ids of endpoints that had the request already.
+            Ids of endpoints that the request has been sent to before.
         affinity : str, optional
-            Equal for requests that gain from the same endpoint.
+            Equal for requests that benefit from the same endpoint.
         shared_tokens : int
-            What an engine need not read again if it had the same before.
+            Prompt tokens that an engine which has served an equal
+            `affinity` need not prefill again.
         body_bytes : int
-            Of the request.
-        held : dict of str to int
-            Bytes that the endpoint fetches, by the zone they lie in.
-        most : float
-            Requests that this instance may have at an endpoint.
+            Size of the request body.
+        result_bytes : dict of str to int
+            Bytes of stage results that the endpoint fetches, by the zone
+            that stores them.
+        max_in_flight : float
+            Requests that this instance may have in flight at an endpoint.
 
         Returns
         -------
@@ -155,68 +165,71 @@
 
         Notes
         -----
-        Endpoints that are avoided are taken when there are no others:
-        the evidence may be wrong, and a request that is refused unsent
-        is refused for certain.
+        Avoided endpoints are used if there are no others: the recorded
+        health may be wrong, whereas a request that is not sent fails with
+        certainty.
         """
-        left = [
+        available = [
             each
             for each in endpoints
-            if each.id not in tried and self.in_flight(each) < most
+            if each.id not in tried and self.in_flight(each) < max_in_flight
         ]
-        good = [
-            each for each in left if not self._health.is_avoided(each, now)
+        healthy = [
+            each
+            for each in available
+            if not self._health.is_avoided(each, now)
         ]
-        pool = good or left
+        pool = healthy or available
         if not pool:
             return None
         costs = {
-            zone: self.crossing(zone, body_bytes, held)
+            zone: self.transfer_cost(zone, body_bytes, result_bytes)
             for zone in {each.zone for each in pool}
         }
-        # An engine that keeps the prefix is worth a way; where the prefix
-        # is long, all instances take the same engine, wherever it is.
-        most_cost = min(costs.values())
+        # An engine that has the prefix cached is worth a longer distance.
+        # For a long prefix all instances select the same engine, whichever
+        # zone it is in.
+        max_cost = min(costs.values())
         if affinity is not None:
-            most_cost += shared_tokens * REREAD_WEIGHT
-        near = [e for e in pool if costs[e.zone] <= most_cost]
-        least = min(self.in_flight(each) for each in near)
-        least_of_all = min(self.in_flight(each) for each in pool)
-        if least > least_of_all + SPILL_SLACK:
-            near, least = pool, least_of_all
+            max_cost += shared_tokens * PREFILL_TOKEN_COST
+        near = [e for e in pool if costs[e.zone] <= max_cost]
+        min_load = min(self.in_flight(each) for each in near)
+        overall_min_load = min(self.in_flight(each) for each in pool)
+        if min_load > overall_min_load + SPILL_SLACK:
+            near, min_load = pool, overall_min_load
         if affinity is not None:
             near.sort(
                 key=lambda each: rendezvous.rank(affinity, each.id),
                 reverse=True,
             )
             for each in near:
-                if self.in_flight(each) <= least + AFFINITY_SLACK:
-                    return Choice(each, "prefix", len(good))
-        # Ties are broken differently by each request, or all instances
-        # would send to the same one first.
-        pick = min(
+                if self.in_flight(each) <= min_load + AFFINITY_SLACK:
+                    return Choice(each, "prefix", len(healthy))
+        # Each request breaks ties in another order.  With a fixed order all
+        # instances would send to the same endpoint first.
+        selected = min(
             near,
             key=lambda each: (
                 self.in_flight(each),
                 rendezvous.rank(str(now), each.id),
             ),
         )
-        return Choice(pick, "least in flight", len(good))
+        return Choice(selected, "least in flight", len(healthy))
 
     def likely_zone(self, endpoints, now, **request):
-        """Return the zone of the engine that a request will go to.
+        """Return the zone of the engine that a request will likely use.
 
-        Results of its stages best lie there.
+        The results of the request's stages are best stored in that zone.
 
         Parameters
         ----------
         endpoints, now, **request
-            As `choose` takes them.
+            As for `choose`.
 
         Returns
         -------
         str
-            The own zone if there is no endpoint just now.
+            The zone of this instance if no endpoint is available.
         """
         choice = self.choose(endpoints, now, **request)
         return self._zone if choice is None else choice.endpoint.zone
@@ -224,7 +237,7 @@
 
 @kernel.plugin("placer", needs=("health",))
 async def placer(core):
-    """Provide the choice of endpoints."""
+    """Provide the `Placer`."""
     yield Placer(
         zone=core.settings.zone,
         regions=core.settings.zones,
--- a/sycamoreshed/forwarding/requests.py
+++ b/sycamoreshed/forwarding/requests.py
@@ -1,61 +1,61 @@
-"""A caller's request on its way through this instance."""
+"""A caller's request and the times by which its work is due."""
 
 import typing
 
 __all__ = ["Priority", "Request"]
 
-# Engines know ten levels; three for the routes within each team's.
-MOST_LEVEL = 9
+# Engines accept ten priority levels; the routes of a team share three.
+MAX_LEVEL = 9
 ROUTE_LEVELS = 3
 
-# Callers of a stream hang up when nothing comes for the longest of two
-# seconds, four times the target and eight times the pause their route
-# allows; what is not there by then is work for nobody.
-LEAST_WAIT_S = 2.0
-TARGETS_WAITED = 4.0
-PAUSES_WAITED = 8.0
-# Stages of a late request are given up on after this many times its target:
-# others, which may still be in time, wait for the same endpoints.
+# Callers of a stream disconnect if no event comes within the longest of two
+# seconds, four times the target and eight times the pause of their route.
+# Nobody uses a result that is ready after that.
+MIN_WAIT_S = 2.0
+WAIT_TARGETS = 4.0
+WAIT_PAUSES = 8.0
+# The stages of a late request are abandoned after this many times its target:
+# other requests, which may still be in time, wait for the same endpoints.
 STAGE_TARGETS = 1.25
 
 
 class Priority(typing.NamedTuple):
-    """How urgent a request is; 0 is the most, and the team's goes first."""
+    """Urgency of a request, by team and then route; 0 is the most urgent."""
 
     team: int
     route: int
 
     @property
     def level(self):
-        """One number from 0 to 9, for engines."""
-        return min(MOST_LEVEL, self.team * ROUTE_LEVELS + self.route)
+        """The priority as one number from 0 to 9, for engines."""
+        return min(MAX_LEVEL, self.team * ROUTE_LEVELS + self.route)
 
 
 class Request(typing.NamedTuple):
-    """A request whose route and team are known.
+    """A request whose route and team have been determined.
 
     Parameters
     ----------
     id : str
-        As the caller named it; each attempt of a caller has its own.
+        Set by the caller, a different one for each of its attempts.
     route : Route
     service : str
-        Which of the route's services it goes to.
+        The service of the route that the request goes to.
     team : Team or None
-        None on routes for anyone.
+        None on routes that need no key.
     priority : Priority
     head : Head
     method, target : str
     headers : CIMultiDict
-        As the caller sent them.
+        As received from the caller.
     body : bytes
     started_at : float
         Monotonic time of its arrival.
     waited_s : float
-        Seconds the caller had waited before it sent this attempt.
+        Seconds that the caller had waited before it sent this attempt.
     deadline : float
-        Monotonic time at which the caller or the operator wants it no
-        more.
+        Monotonic time after which neither the caller nor the operator wants
+        an answer.
     """
 
     id: str
@@ -79,43 +79,44 @@
 
     @property
     def target_at(self):
-        """Monotonic time until which an answer is in time."""
+        """Monotonic time by which an answer is in time."""
         return self.started_at - self.waited_s + self.route.target_s
 
     @property
     def answer_start_deadline(self):
-        """Monotonic time until which an answer has to begin."""
+        """Monotonic time by which an answer must begin."""
         if not self.route.streaming:
             return self.deadline
-        waited = max(
-            LEAST_WAIT_S,
-            TARGETS_WAITED * self.route.target_s,
-            PAUSES_WAITED * self.route.pause_s,
+        max_wait_s = max(
+            MIN_WAIT_S,
+            WAIT_TARGETS * self.route.target_s,
+            WAIT_PAUSES * self.route.pause_s,
         )
-        return min(self.deadline, self.started_at + waited)
+        return min(self.deadline, self.started_at + max_wait_s)
 
     @property
     def stages_deadline(self):
-        """Monotonic time until which stages are worked on."""
-        # Who comes back is late already when it does; it is worked for
-        # as long as anybody is, from now.
-        patience = STAGE_TARGETS * self.route.target_s - self.waited_s
-        patience = max(patience, self.route.target_s)
-        return min(self.answer_start_deadline, self.started_at + patience)
+        """Monotonic time by which the stages are abandoned."""
+        # A retry by the caller is late already when it arrives.  Its stages
+        # get the target time of the route all the same, from the arrival.
+        timeout_s = STAGE_TARGETS * self.route.target_s - self.waited_s
+        timeout_s = max(timeout_s, self.route.target_s)
+        return min(self.answer_start_deadline, self.started_at + timeout_s)
 
     @property
     def affinity(self):
-        """What requests share that gain from the same engine, or None.
+        """Key of the shared prompt prefix, or None.
 
-        The last part of a prompt belongs to the request alone; the one
-        before it is the longest that others share.
+        Requests with the same key benefit from the same engine.  The last
+        part of a prompt belongs to the request alone; the key is that of
+        the part before it, the longest prefix that other requests share.
         """
         shared = self._shared_parts
         return shared[-1][0] if shared else None
 
     @property
     def shared_tokens(self):
-        """Tokens of the prompt that other requests have as well."""
+        """Number of prompt tokens that other requests have as well."""
         return sum(tokens for _, tokens in self._shared_parts)
 
     @property
--- a/sycamoreshed/forwarding/sse.py
+++ b/sycamoreshed/forwarding/sse.py
@@ -1,26 +1,27 @@
-"""Cuts a byte stream into whole server-sent events."""
+"""Splitting of a byte stream into server-sent events."""
 
 import re
 import typing
 
 __all__ = ["EventBuffer", "StreamEvent"]
 
-_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
 _ID = re.compile(rb"^id: ?(\d+)\r?$", re.MULTILINE)
 
 
 class StreamEvent(typing.NamedTuple):
-    """One event as its bytes, and its id (None if it has none)."""
+    """The bytes of an event, and its id or None if it has none."""
 
     raw: bytes
     number: int | None
 
 
 class EventBuffer:
-    r"""Takes bytes as they come, gives whole events.
+    r"""Buffers received bytes and returns complete events.
 
-    An engine may stop in the middle of an event.  Passed on, the half of
-    it could not be taken back, and the stream could not go on elsewhere.
+    An engine may fail in the middle of an event.  A partial event that had
+    been passed on could not be withdrawn, so that the stream could not be
+    resumed at another engine.
 
     Examples
     --------
@@ -36,18 +37,18 @@
 
     @property
     def rest(self):
-        """Bytes of an event whose end has not come."""
+        """Bytes of an incomplete event."""
         return self._rest
 
     def feed(self, data):
-        """Take bytes; return the events that are whole by now."""
+        """Add received bytes; return the events that they complete."""
         data = self._rest + data
         events = []
         start = 0
-        for end in _END.finditer(data):
+        for end in _EVENT_END.finditer(data):
             raw = data[start : end.end()]
-            found = _ID.search(raw)
-            number = int(found[1]) if found else None
+            id_line = _ID.search(raw)
+            number = int(id_line[1]) if id_line else None
             events.append(StreamEvent(raw, number))
             start = end.end()
         self._rest = data[start:]
--- a/sycamoreshed/forwarding/streams.py
+++ b/sycamoreshed/forwarding/streams.py
@@ -1,4 +1,4 @@
-"""Passes a stream of events on, and goes on with it where it broke."""
+"""Forwarding of event streams, which resume at another engine on failure."""
 
 import typing
 
@@ -9,16 +9,16 @@
 from sycamoreshed.forwarding import sse
 from sycamoreshed.kernel import limits
 
-__all__ = ["StreamEnd", "pass_on"]
+__all__ = ["StreamEnd", "forward_stream"]
 
-# A stream that may go on elsewhere is given up on at an engine after a
-# silence of this many times the pause its route still counts as on time;
-# callers hang up after eight.
-SILENT_PAUSES = 4.0
-# Before the first event: a share of the time in which it is due.  It leaves
+# A resumable stream is abandoned at an engine that sends nothing for this many
+# times the pause that its route counts as on time; callers disconnect after
+# eight times the pause.
+TIMEOUT_PAUSES = 4.0
+# Time limit for the first event, as a share of the route's target.  It leaves
 # time for another engine.
-FIRST_SHARE = 0.6
-LEAST_FIRST_S = 0.5
+FIRST_EVENT_SHARE = 0.6
+MIN_FIRST_EVENT_S = 0.5
 
 
 class StreamEnd(typing.NamedTuple):
@@ -27,12 +27,12 @@
     Parameters
     ----------
     failure : Failure or None
-        None if all of it was passed on.
+        None if the stream was passed on completely.
     first_s : float or None
-        From the request's arrival to its first event.
+        Seconds from the arrival of the request to its first event.
     events : int
     endpoint : Endpoint
-        The last one.
+        The last engine that the stream came from.
     """
 
     failure: typing.Any
@@ -42,17 +42,17 @@
 
 
 class _Progress:
-    """What of a stream has been passed on."""
+    """What part of a stream has been passed on."""
 
     def __init__(self):
-        self.begun = False
+        self.has_started = False
         self.first_s = None
         self.count = 0
-        self.last = None
+        self.last_event_id = None
 
 
-async def pass_on(opened, tries, request, sink, parts):
-    """Pass a stream on to a caller until it is whole or broken.
+async def forward_stream(opened, tries, request, sink, parts):
+    """Pass a stream on to a caller until it is complete or fails.
 
     Parameters
     ----------
@@ -61,39 +61,45 @@
     tries : Attempts
     request : Request
     sink : Sink
-        ``begin(response)`` before the first event, then ``send(bytes)``.
+        Receives ``begin(response)`` before the first event, then
+        ``send(bytes)``.
     parts : Parts
 
     Returns
     -------
     StreamEnd or Ended
-        `Ended` if another engine, asked to go on, answered with a
-        failure before anything was passed on.
+        `Ended` if the next engine answered with a failure before any part
+        of the stream had been passed on.
     """
     progress = _Progress()
     while True:
-        began = parts.clock()
+        started_at = parts.clock()
         try:
-            failure = await _pump(opened, request, sink, parts, progress)
+            failure = await _forward_part(
+                opened, request, sink, parts, progress
+            )
         finally:
-            tries.closed(opened)
+            tries.close(opened)
         if failure is None:
             parts.health.record_success(opened.endpoint, parts.clock())
             return _end(None, progress, opened)
-        tries.failed(opened.endpoint, failure, began)
+        tries.record_failure(opened.endpoint, failure, started_at)
         if not request.route.resumable or not tries.may_retry(failure):
             return _end(failure, progress, opened)
-        again = await tries.open(last_event_id=progress.last)
-        if not isinstance(again, attempts.Opened):
-            if isinstance(again, attempts.Ended) and not progress.begun:
-                return again
-            return _end(_not_resumed(failure, again), progress, opened)
-        opened = again
+        resumed = await tries.open(last_event_id=progress.last_event_id)
+        if not isinstance(resumed, attempts.Opened):
+            if (
+                isinstance(resumed, attempts.Ended)
+                and not progress.has_started
+            ):
+                return resumed
+            return _end(_not_resumed(failure, resumed), progress, opened)
+        opened = resumed
         parts.journal.write(
             "resumed",
             request=request.id,
             endpoint=opened.endpoint.id,
-            after=progress.last,
+            after=progress.last_event_id,
         )
 
 
@@ -103,23 +109,26 @@
     )
 
 
-def _not_resumed(failure, again):
-    """Return a failure that also tells why no other engine went on."""
-    why = again
-    if isinstance(again, attempts.Ended):
-        why = again.failure
-    # A whole answer where the rest of a stream was asked for.
-    told = f"status {again.answer.status}" if why is None else why.reason
-    return failure._replace(reason=f"{failure.reason}; not resumed: {told}")
+def _not_resumed(failure, result):
+    """Add to a failure why the stream was not resumed."""
+    cause = result
+    if isinstance(result, attempts.Ended):
+        cause = result.failure
+    # Without a failure the engine sent a full answer instead of the rest of
+    # the stream.
+    reason = (
+        f"status {result.answer.status}" if cause is None else cause.reason
+    )
+    return failure._replace(reason=f"{failure.reason}; not resumed: {reason}")
 
 
-async def _pump(opened, request, sink, parts, progress):
+async def _forward_part(opened, request, sink, parts, progress):
     """Pass on one engine's part of a stream; return a failure or None."""
     response = opened.response
     buffer = sse.EventBuffer()
     while True:
         try:
-            async with limits.limit(_patience(request, parts, progress)):
+            async with limits.limit(_timeout(request, parts, progress)):
                 data = await response.content.readany()
         except TimeoutError:
             return _broken("engine is silent")
@@ -128,49 +137,53 @@
         if not data:
             break
         for event in buffer.feed(data):
-            fault = await _take(
+            failure = await _forward_event(
                 event, response, request, sink, parts, progress
             )
-            if fault is not None:
-                return fault
+            if failure is not None:
+                return failure
     if buffer.rest:
         return _broken("ended within an event")
     if client.was_reset(response):
         return _broken("reset")
-    if not progress.begun:
+    if not progress.has_started:
         await sink.begin(response)
-        progress.begun = True
+        progress.has_started = True
     return None
 
 
-async def _take(event, response, request, sink, parts, progress):
-    if event.number is not None and progress.last is not None:
-        expected = int(progress.last) + 1
+async def _forward_event(event, response, request, sink, parts, progress):
+    if event.number is not None and progress.last_event_id is not None:
+        expected = int(progress.last_event_id) + 1
         if event.number < expected and request.route.resumable:
             return None
         if event.number != expected:
-            return _broken(f"event {event.number} after {progress.last}")
-    if not progress.begun:
-        progress.begun = True
+            return _broken(
+                f"event {event.number} after {progress.last_event_id}"
+            )
+    if not progress.has_started:
+        progress.has_started = True
         progress.first_s = parts.clock() - request.started_at
         await sink.begin(response)
     await sink.send(event.raw)
     progress.count += 1
     if event.number is not None:
-        progress.last = str(event.number)
+        progress.last_event_id = str(event.number)
     return None
 
 
-def _patience(request, parts, progress):
-    """Return the seconds until an engine's silence ends the attempt."""
-    left = max(0.001, request.deadline - parts.clock())
+def _timeout(request, parts, progress):
+    """Return the seconds after which an unresponsive engine is abandoned."""
+    remaining_s = max(0.001, request.deadline - parts.clock())
     if not request.route.resumable:
-        return left
-    if progress.begun:
-        return min(left, SILENT_PAUSES * request.route.pause_s)
-    first = max(LEAST_FIRST_S, FIRST_SHARE * request.route.target_s)
-    return min(left, first)
+        return remaining_s
+    if progress.has_started:
+        return min(remaining_s, TIMEOUT_PAUSES * request.route.pause_s)
+    first_event_s = max(
+        MIN_FIRST_EVENT_S, FIRST_EVENT_SHARE * request.route.target_s
+    )
+    return min(remaining_s, first_event_s)
 
 
-def _broken(why):
-    return kinds.Failure(kinds.Kind.BROKEN_STREAM, why, sent=True)
+def _broken(reason):
+    return kinds.Failure(kinds.Kind.BROKEN_STREAM, reason, sent=True)
--- a/sycamoreshed/forwarding/tests/builders.py
+++ b/sycamoreshed/forwarding/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of requests, and of endpoints that answer by a script."""
+"""Builders of requests, and endpoints that answer by a script."""
 
 import typing
 
@@ -24,33 +24,34 @@
 
 
 class Outcome(typing.NamedTuple):
-    """What comes of sending a request to an endpoint.
+    """The outcome of sending a request to an endpoint.
 
     Parameters
     ----------
     status : int or None
-        Of the answer; None if there is none.
+        Status of the answer; None if there is no answer.
     headers : dict
     may_have_run : bool
-        As far as anybody but the endpoint can tell.
-    reached : bool
-        Whether a byte of the request left.
-    whole : bool
-        Whether the body of the answer comes to its end.
+        Whether the endpoint may have run the request, as far as this can
+        be determined from outside.
+    is_sent : bool
+        Whether any byte of the request was sent.
+    is_complete : bool
+        Whether the body of the answer is complete.
     """
 
     status: int | None
     headers: typing.Any
     may_have_run: bool
-    reached: bool = True
-    whole: bool = True
+    is_sent: bool = True
+    is_complete: bool = True
 
 
 _OWN = {names.REQUEST_ID: ID}
 _NOT_RUN = {**_OWN, names.NOT_RUN: "1"}
 
 OUTCOMES = {
-    "no connection": Outcome(None, {}, False, reached=False),
+    "no connection": Outcome(None, {}, False, is_sent=False),
     "reset": Outcome(None, {}, True),
     "full": Outcome(503, _NOT_RUN, False),
     "too many": Outcome(429, _NOT_RUN, False),
@@ -58,7 +59,7 @@
     "unproved promise": Outcome(503, _OWN, True),
     "failed": Outcome(500, _OWN, True),
     "another's answer": Outcome(200, {names.REQUEST_ID: "r2"}, True),
-    "cut": Outcome(200, _OWN, True, whole=False),
+    "cut": Outcome(200, _OWN, True, is_complete=False),
     "done": Outcome(200, _OWN, True),
 }
 
@@ -68,20 +69,20 @@
 
 
 class _Response:
-    """An answer as the HTTP client gives it."""
+    """An answer as the HTTP client returns it."""
 
     reason = ""
     protocol = _Protocol()
 
     def __init__(self, outcome):
-        self._whole = outcome.whole
+        self._is_complete = outcome.is_complete
         self.status = outcome.status
         self.headers = multidict.CIMultiDict(outcome.headers)
         self.headers["Content-Length"] = "2"
 
     async def read(self):
-        """Return the body, or fail within it."""
-        if not self._whole:
+        """Return the body, or raise if it is incomplete."""
+        if not self._is_complete:
             raise aiohttp.ClientPayloadError("cut")
         return b"{}"
 
@@ -95,30 +96,30 @@
     Parameters
     ----------
     script : iterable of Outcome
-        One for each sending; whatever is sent after the last is done.
+        One for each request; requests after the last outcome succeed.
     """
 
     def __init__(self, script):
         self._script = iter(script)
         self.sent = []
-        self.given_s = []
+        self.timeouts_s = []
 
     async def send(
         self, _method, address, _target, _headers, _body, *, timeout_s
     ):
-        """Take the next outcome."""
+        """Answer with the next outcome."""
         outcome = next(self._script, OUTCOMES["done"])
         self.sent.append((address, outcome))
-        self.given_s.append(timeout_s)
+        self.timeouts_s.append(timeout_s)
         if outcome.status is None:
             return kinds.Failure(
-                kinds.Kind.REFUSED, "no answer", sent=outcome.reached
+                kinds.Kind.REFUSED, "no answer", sent=outcome.is_sent
             )
         return _Response(outcome)
 
 
 class _Catalog:
-    """A configuration and endpoints that stay as they are."""
+    """A configuration and endpoints that never change."""
 
     def __init__(self, endpoints):
         self._endpoints = endpoints
@@ -132,28 +133,30 @@
         return self._endpoints
 
     def age(self, _table, _now):
-        """Return 0, as if just heard."""
+        """Return 0, as if just updated."""
         return 0.0
 
 
 class _Peers:
     def count(self):
-        """Return that this instance is alone."""
+        """Return 1: there is no other instance."""
         return 1
 
 
 def parts(client, *, endpoints=4):
-    """Return what attempts share, with like endpoints of one zone."""
+    """Return shared components, with equal endpoints in one zone."""
     journal = journals.Journal()
-    evidence = health.Health(journal=journal)
-    found = [
+    endpoint_health = health.Health(journal=journal)
+    available = [
         types.Endpoint(f"e{n}", SERVICE, f"e{n}:80", "north-a", 6)
         for n in range(endpoints)
     ]
     return attempts.Parts(
-        catalog=_Catalog(found),
-        placer=placement.Placer(zone="north-a", regions={}, health=evidence),
-        health=evidence,
+        catalog=_Catalog(available),
+        placer=placement.Placer(
+            zone="north-a", regions={}, health=endpoint_health
+        ),
+        health=endpoint_health,
         budget=budget.RetryBudget(ratio=1.0, slack=99, window_s=10),
         peers=_Peers(),
         client=client,
@@ -164,7 +167,7 @@
 
 
 def request(**changes):
-    """Return a request that no endpoint may run twice."""
+    """Return a request that may run only once."""
     route = types.Route(
         "ballots",
         "h",
--- a/sycamoreshed/forwarding/tests/test_client.py
+++ b/sycamoreshed/forwarding/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: which are kept, and what for."""
+"""Tests of connection reuse in the client for endpoints."""
 
 import asyncio
 import contextlib
@@ -10,24 +10,24 @@
 
 
 class Endpoint:
-    """Answers every call; counts its connections.
+    """A server that answers calls and counts its connections.
 
     Parameters
     ----------
-    most : int
-        Calls it takes on a connection; the next one is not answered, and
-        the connection ends.
+    max_calls : int
+        Calls that it answers on a connection; it aborts the connection at
+        the next call, without an answer.
     """
 
-    def __init__(self, *, most):
-        self._most = most
+    def __init__(self, *, max_calls):
+        self._max_calls = max_calls
         self.connections = 0
         self.calls = 0
 
     async def serve(self, reader, writer):
         """Serve one connection."""
         self.connections += 1
-        for _ in range(self._most):
+        for _ in range(self._max_calls):
             head = await reader.readuntil(b"\r\n\r\n")
             length = int(
                 head.lower().partition(b"content-length:")[2].split()[0]
@@ -41,9 +41,9 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(most):
+async def serving(max_calls):
     """Run an endpoint; yield it and its address."""
-    endpoint = Endpoint(most=most)
+    endpoint = Endpoint(max_calls=max_calls)
     server = await asyncio.start_server(endpoint.serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     try:
@@ -52,16 +52,16 @@
         server.close()
 
 
-async def test_calls_that_tell_nothing_share_a_connection():
+async def test_idempotent_calls_share_a_connection():
     """Results are freed several times a second.
 
-    A new connection for each takes the endpoint as long as a part of a
-    piece, and it takes a limited number of them.
+    A new connection for each call would cost the endpoint as much time as a
+    part of a piece of work, and it accepts a limited number of connections.
     """
-    async with serving(most=99) as (endpoint, address):
-        async with client.open_client() as found:
+    async with serving(max_calls=99) as (endpoint, address):
+        async with client.open_client() as endpoint_client:
             for _ in range(10):
-                answer = await found.post_idempotent(
+                answer = await endpoint_client.post_idempotent(
                     address, "/", {}, b"x", timeout_s=5
                 )
                 assert answer.status == 200
@@ -69,31 +69,32 @@
     assert endpoint.connections == 1
 
 
-async def test_a_kept_connection_that_ends_is_made_up_for():
-    """An endpoint closes a connection while a call is on its way.
+async def test_a_call_on_a_closed_pooled_connection_is_retried():
+    """An endpoint closes a connection while a call is in transit.
 
-    If the call were given up, its results would fill the endpoint's room
-    until they expire, and callers would be refused for want of room.
+    If the call were abandoned, the results that it frees would occupy the
+    memory of the endpoint until they expire, and callers would be rejected
+    for lack of memory.
     """
-    async with serving(most=1) as (endpoint, address):
-        async with client.open_client() as found:
+    async with serving(max_calls=1) as (endpoint, address):
+        async with client.open_client() as endpoint_client:
             for _ in range(5):
-                answer = await found.post_idempotent(
+                answer = await endpoint_client.post_idempotent(
                     address, "/", {}, b"x", timeout_s=5
                 )
                 assert not isinstance(answer, kinds.Failure)
     assert endpoint.calls == 5
 
 
-async def test_other_requests_have_connections_of_their_own():
-    """A late second answer must not stand where another one is expected."""
-    async with serving(most=99) as (endpoint, address):
-        async with client.open_client() as found:
+async def test_other_requests_use_a_new_connection_each():
+    """A late duplicate must not be taken for the next request's answer."""
+    async with serving(max_calls=99) as (endpoint, address):
+        async with client.open_client() as endpoint_client:
             for _ in range(3):
-                await found.post_idempotent(
+                await endpoint_client.post_idempotent(
                     address, "/", {}, b"x", timeout_s=5
                 )
-                response = await found.send(
+                response = await endpoint_client.send(
                     "POST", address, "/", {}, b"x", timeout_s=5
                 )
                 await client.read_full(response, timeout_s=5)
--- a/sycamoreshed/forwarding/tests/test_forwarder.py
+++ b/sycamoreshed/forwarding/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""The way of a request through its stages and attempts."""
+"""Tests of a request with stages and several attempts."""
 
 import pytest
 
@@ -9,22 +9,22 @@
 
 
 class Stages:
-    """Makes one result each time it is asked."""
+    """Returns one more result at each run."""
 
     def __init__(self):
         self.runs = 0
 
-    async def run(self, _job, kept, *, wanted_in):
-        """Make a result."""
+    async def run(self, _job, results, *, wanted_in):
+        """Add a result."""
         self.runs += 1
-        kept.append(f"h{self.runs}")
-        return list(kept)
+        results.append(f"h{self.runs}")
+        return list(results)
 
     def free(self, _handles):
         """Do nothing."""
 
     def zone_bytes(self, _handles, _stages):
-        """Return that nothing lies anywhere."""
+        """Return no bytes in any zone."""
         return {}
 
 
@@ -37,16 +37,18 @@
 async def test_a_request_is_not_run_again_after_its_answer(terms):
     """One engine does not find its inputs, and the next one answers.
 
-    Run once more for the inputs that were gone, a ballot would be counted
-    twice, and a caller of a stream would get a second answer in the middle
-    of the first.
+    If the missing inputs made the request run again, a ballot would be
+    counted twice, and a caller of a stream would get a second answer within
+    the first.
     """
     client = builders.ScriptedClient([GONE, builders.OUTCOMES["done"]])
     stage = types.Stage("first", (), 8000)
     request = builders.request(stages=(stage,), **terms)
     request = request._replace(head=request.head._replace(pieces=(1,)))
-    way = forwarder.Forwarder(parts=builders.parts(client), stages=Stages())
-    outcome = await way.forward(request, sink=None)
+    under_test = forwarder.Forwarder(
+        parts=builders.parts(client), stages=Stages()
+    )
+    outcome = await under_test.forward(request, sink=None)
     assert outcome.answer is not None
     runs = [each for _, each in client.sent if each.may_have_run]
     assert len(runs) == 1
