--- a/sycamoreshed/forwarding/forwarder.py
+++ b/sycamoreshed/forwarding/forwarder.py
@@ -76,7 +76,7 @@
     Parameters
     ----------
     parts : Parts
-    stages : Stages
+    stages : StageRunner
     """
 
     def __init__(self, *, parts, stages):
@@ -176,9 +176,9 @@
                 for stage, count in zip(stages, counts, strict=True)
             ],
             key=request.head.piece_key,
-            aim_s=target_s,
-            until_s=soft_limit_s,
-            limit_s=hard_limit_s,
+            target_s=target_s,
+            soft_limit_s=soft_limit_s,
+            hard_limit_s=hard_limit_s,
             team=request.team.name if request.team else None,
             team_priority=request.priority.team,
             priority=request.priority.route,
@@ -190,7 +190,7 @@
             shared_tokens=request.shared_tokens,
             body_bytes=len(request.body),
         )
-        return await self._stages.run(job, results, wanted_in=zone)
+        return await self._stages.run(job, results, engine_zone=zone)
 
     async def _attempt(self, request, tries, sink):
         result = await tries.open()
--- a/sycamoreshed/forwarding/tests/test_forwarder.py
+++ b/sycamoreshed/forwarding/tests/test_forwarder.py
@@ -8,13 +8,13 @@
 from sycamoreshed.platform import names
 
 
-class Stages:
+class StageRunner:
     """Returns one more result at each run."""
 
     def __init__(self):
         self.runs = 0
 
-    async def run(self, _job, results, *, wanted_in):
+    async def run(self, _job, results, *, engine_zone):
         """Add a result."""
         self.runs += 1
         results.append(f"h{self.runs}")
@@ -46,7 +46,7 @@
     request = builders.request(stages=(stage,), **terms)
     request = request._replace(head=request.head._replace(pieces=(1,)))
     under_test = forwarder.Forwarder(
-        parts=builders.parts(client), stages=Stages()
+        parts=builders.parts(client), stages=StageRunner()
     )
     outcome = await under_test.forward(request, sink=None)
     assert outcome.answer is not None
