--- a/sycamoreshed/forwarding/attempts.py
+++ b/sycamoreshed/forwarding/attempts.py
@@ -2,8 +2,10 @@
 
 Whether a request may be retried depends on the request alone: any request
 may be retried while no endpoint can have run it, an idempotent one also
-after that.  Each retry is taken from the retry budget that all instances
-share, and counts as one of the attempts that the route allows.
+after that.  A retry is taken from the retry budget that all instances share
+once an attempt has been counted.  Attempts that sent nothing, or that reached
+another endpoint at the address, do not count towards the attempts that the
+route allows.
 """
 
 import math
@@ -14,13 +16,13 @@
 from sycamoreshed.forwarding import placement
 from sycamoreshed.kernel import kernel
 
-__all__ = ["Attempts", "Ended", "Opened"]
+__all__ = ["Answered", "Attempts", "Opened"]
 
-# Time limit of an attempt as a multiple of the route's target, for requests
-# that may run again and streams that may be resumed.  An endpoint that has not
-# begun to answer by then is considered failed while another one may still
-# answer in time.
-TIMEOUT_TARGETS = 2.0
+# Time limit for the head of an answer, and again for its body, as a multiple
+# of the route's target, for requests that may run again and streams that may
+# be resumed.  An endpoint that exceeds it is considered failed while another
+# one may still answer before the deadline.
+TIMEOUT_TARGET_FACTOR = 2.0
 MIN_TIMEOUT_S = 0.5
 
 
@@ -34,16 +36,16 @@
     response: typing.Any
 
 
-class Ended(typing.NamedTuple):
-    """A full answer of an endpoint.
+class Answered(typing.NamedTuple):
+    """A `FullAnswer` of an endpoint and its classification.
 
     Parameters
     ----------
     endpoint : Endpoint
     answer : FullAnswer
     failure : Failure or None
-        Why the answer is not a success.
-    is_final : bool
+        None if the endpoint processed the request, also with a 4xx status.
+    is_passed_on : bool
         Whether the answer is passed on to the caller unchanged; otherwise
         the caller gets the failure.
     """
@@ -51,7 +53,7 @@
     endpoint: typing.Any
     answer: typing.Any
     failure: typing.Any = None
-    is_final: bool = True
+    is_passed_on: bool = True
 
 
 class Attempts:
@@ -61,16 +63,21 @@
     ----------
     request : Request
     parts : Parts
-        Components that all requests share.
     inputs : list of str
         Handles of the stage results that the endpoint fetches.
     result_bytes : dict of str to int
         Bytes of those results in each zone.
     release : Release or None
-        Frees the inputs; None if there are none.
-    renew : coroutine function
+        Frees the inputs; None if nothing is to be freed.
+    rerun_stages : coroutine function
         Takes the remaining seconds.  Runs the stages again and returns the
         new inputs or a `Failure`.
+
+    Attributes
+    ----------
+    inputs_missing : bool
+        Whether the latest attempt failed because the engine did not find
+        its inputs.
     """
 
     def __init__(
@@ -81,18 +88,18 @@
         inputs=(),
         result_bytes=None,
         release=None,
-        renew=None,
+        rerun_stages=None,
     ):
         self._request = request
         self._parts = parts
         self._inputs = inputs
         self._release = release
-        self._renew = renew
+        self._rerun_stages = rerun_stages
         self._result_bytes = result_bytes or {}
         self._tried = set()
-        self._sent = 0
+        self._counted_attempts = 0
         self._may_have_run = False
-        self.inputs_gone = False
+        self.inputs_missing = False
 
     @property
     def may_have_run(self):
@@ -100,7 +107,7 @@
         return self._may_have_run
 
     async def open(self, *, last_event_id=None):
-        """Send the request until an endpoint accepts it.
+        """Send the request until one answers or no retry is allowed.
 
         Parameters
         ----------
@@ -109,8 +116,9 @@
 
         Returns
         -------
-        Opened, Ended or Failure
-            `Opened` for a success whose body is still to be read.
+        Opened, Answered or Failure
+            `Opened` for a 200 of a streaming route, whose body is still to
+            be read.
         """
         parts, request = self._parts, self._request
         last = None
@@ -131,7 +139,7 @@
                     kinds.Kind.NO_ENDPOINT, f"no endpoint of {request.service}"
                 )
             if self._release is not None and self._release.freed:
-                inputs = await self._renew(remaining_s)
+                inputs = await self._rerun_stages(remaining_s)
                 if isinstance(inputs, kinds.Failure):
                     return inputs._replace(sent=self._may_have_run)
                 self._inputs = inputs
@@ -147,18 +155,18 @@
             if isinstance(result, Opened):
                 return result
             failure = result
-            if isinstance(result, Ended):
+            if isinstance(result, Answered):
                 failure = result.failure
                 if failure is None:
                     return result
                 last = result
-            if not self.may_retry(failure):
+            if not self.try_retry(failure):
                 return result
 
     def record_answer_start(self):
-        """Record that an endpoint has begun its answer."""
+        """Free the inputs, as an endpoint has begun its answer."""
         if self._release is not None:
-            self._release.record_answer_start()
+            self._release.free_now()
 
     def close(self, opened):
         """Close an answer whose body has been read or abandoned."""
@@ -174,7 +182,7 @@
         if failure.sent:
             self._may_have_run = True
         # Missing inputs are not the fault of the endpoint that reports them.
-        if not self.inputs_gone:
+        if not self.inputs_missing:
             self._parts.health.record_failure(
                 endpoint, now, failure.reason, reachable=reachable
             )
@@ -188,18 +196,21 @@
             took_s=round(now - started_at, 4),
         )
 
-    def may_retry(self, failure):
-        """Return whether to retry after a failure; spend budget if so."""
+    def try_retry(self, failure):
+        """Return whether to retry after a failure.
+
+        A retry spends budget unless no attempt has been counted so far.
+        """
         request, parts = self._request, self._parts
         now = parts.clock()
         why = None
         if self._may_have_run and not request.can_rerun:
             why = "may have run"
-        elif self._sent >= request.route.max_attempts:
+        elif self._counted_attempts >= request.route.max_attempts:
             why = "no attempts left"
         elif now >= request.deadline:
             why = "no time left"
-        elif self._sent and not parts.budget.try_spend(
+        elif self._counted_attempts and not parts.budget.try_spend(
             request.service, now, parts.peers.count()
         ):
             why = "budget spent"
@@ -209,7 +220,7 @@
         parts.journal.write(
             "retry" if why is None else "no_retry",
             request=request.id,
-            attempt=self._sent + 1,
+            attempt=self._counted_attempts + 1,
             why=why or failure.reason,
             budget=round(budget, 1),
         )
@@ -222,10 +233,10 @@
         the remaining time: a late answer is better than none.
         """
         route = self._request.route
-        last = self._sent + 1 >= route.max_attempts
-        if last or not self._request.can_rerun or choice.candidates < 2:
+        last = self._counted_attempts + 1 >= route.max_attempts
+        if last or not self._request.can_rerun or choice.healthy_count < 2:
             return remaining_s
-        timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_TARGETS * route.target_s)
+        timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_TARGET_FACTOR * route.target_s)
         return min(remaining_s, timeout_s)
 
     def _choose(self, now):
@@ -252,7 +263,7 @@
                 request=request.id,
                 endpoint=choice.endpoint.id,
                 attempt=len(self._tried) + 1,
-                of=choice.candidates,
+                of=choice.healthy_count,
                 in_flight=parts.placer.in_flight(choice.endpoint),
                 age_s=round(parts.catalog.age("endpoints", now), 2),
                 why=choice.reason,
@@ -263,9 +274,9 @@
         parts, request = self._parts, self._request
         endpoint = choice.endpoint
         self._tried.add(endpoint.id)
-        # The flag describes the current attempt only.  Were it still set
-        # after a later endpoint has answered, the request would run again.
-        self.inputs_gone = False
+        # Describes the latest attempt only: were it still set after another
+        # endpoint has answered, `Forwarder` would run the request again.
+        self.inputs_missing = False
         headers = parts.codec.forwarded_headers(
             request.headers,
             team=request.team.name if request.team else None,
@@ -278,9 +289,10 @@
         started_at = parts.clock()
         parts.placer.record_start(endpoint)
         if self._inputs:
-            self._release.record_sent(endpoint)
+            self._release.schedule(endpoint)
         is_open = False
-        # The result on cancellation: the request may have been sent.
+        # The result if the attempt is cancelled or raises: the request may
+        # have been sent.
         result = kinds.Failure(kinds.Kind.INTERNAL, "cancelled", sent=True)
         try:
             result = await self._exchange(endpoint, headers, timeout_s)
@@ -292,10 +304,11 @@
             self._record(endpoint, result, started_at)
 
     def _record(self, endpoint, result, started_at):
-        if isinstance(result, Ended):
+        if isinstance(result, Answered):
             if result.failure is not None:
                 self.record_failure(endpoint, result.failure, started_at)
         elif isinstance(result, kinds.Failure):
+            # Cancelled or raised, which is not a failure of the endpoint.
             if result.kind is kinds.Kind.INTERNAL:
                 self._may_have_run = True
                 return
@@ -315,17 +328,17 @@
         )
         if isinstance(response, kinds.Failure):
             if response.sent:
-                self._sent += 1
+                self._counted_attempts += 1
             return response
         if not parts.codec.answers(response.headers, request.id):
-            self._sent += 1
+            self._counted_attempts += 1
             response.close()
             return kinds.Failure(
                 kinds.Kind.STRAY_ANSWER, "answers another request", sent=True
             )
         verdict = parts.codec.judge(response.status, response.headers).value
         if verdict != "elsewhere":
-            self._sent += 1
+            self._counted_attempts += 1
         if request.route.streaming and verdict == "done":
             if response.status == 200:
                 return Opened(endpoint, response)
@@ -339,29 +352,43 @@
     def _classify(self, endpoint, answer, verdict):
         if verdict == "done":
             self._parts.health.record_success(endpoint, self._parts.clock())
-            return Ended(endpoint, answer)
-        sent = verdict not in ("not-run", "elsewhere")
-        if answer.status == 409 and not sent:
-            self.inputs_gone = True
+            return Answered(endpoint, answer)
+        may_have_run = verdict not in ("not-run", "elsewhere")
+        # Engines report missing inputs by 409 and "not run".
+        if answer.status == 409 and not may_have_run:
+            self.inputs_missing = True
             if self._release is not None:
-                self._release.record_inputs_gone()
+                self._release.record_inputs_missing()
         failure = kinds.Failure(
             kinds.Kind.REFUSED,
             f"endpoint answered {answer.status} ({verdict})",
-            sent=sent,
+            sent=may_have_run,
         )
         # The answer of a request that ran and failed is passed on unchanged.
-        # An answer whose status implies "not run" is replaced by an answer of
-        # this system, which carries the time to retry.  It states "not run"
-        # only if the endpoint did so explicitly.
-        return Ended(endpoint, answer, failure, verdict == "failed")
+        # An answer whose status implies "not run" is replaced by the gateway's
+        # own, which carries the time to retry.  That one states "not run" only
+        # for a 421 or if the endpoint marked its answer so.
+        return Answered(endpoint, answer, failure, verdict == "failed")
 
     def _fail(self, kind, reason):
         return kinds.Failure(kind, reason, sent=self._may_have_run)
 
 
 class Parts(typing.NamedTuple):
-    """Components that the attempts at all requests share."""
+    """Components that the attempts at all requests share.
+
+    Parameters
+    ----------
+    catalog : Catalog
+    placer : Placer
+    health : Health
+    budget : RetryBudget
+    peers : Peers
+    client : EndpointClient
+    codec : Platform
+    journal : Journal
+    clock : callable
+    """
 
     catalog: typing.Any
     placer: typing.Any
--- a/sycamoreshed/forwarding/budget.py
+++ b/sycamoreshed/forwarding/budget.py
@@ -40,7 +40,7 @@
         self._total += count
 
     def count(self, now):
-        """Return the number of events in the window that ends at `now`."""
+        """Return the events of the last `span_s` seconds, or a slot more."""
         oldest = math.floor(now / self._slot_s) - self.SLOTS
         while self._counts and self._counts[0][0] < oldest:
             self._total -= self._counts.popleft()[1]
--- a/sycamoreshed/forwarding/client.py
+++ b/sycamoreshed/forwarding/client.py
@@ -20,13 +20,14 @@
 CONNECT_S = 0.5
 MAX_HEADER_BYTES = 32768
 # A host that lost power or is partitioned sends no reset; without keepalive
-# probes a stream would wait for its next event without end.
+# probes a stream would wait for its next event until its time limit.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
 USER_TIMEOUT_MS = 3000
 # Maximum idle time of a pooled connection.  Endpoints close idle connections
-# after a few seconds; under load one is used several times a second.
+# after a few seconds; under load a pooled connection is used several times a
+# second.
 MAX_IDLE_S = 2.0
 
 
@@ -67,12 +68,12 @@
 
 
 class Response(aiohttp.ClientResponse):
-    """A response that keeps its connection after the body has ended.
+    """A response that keeps a reference to its connection's protocol.
 
     Notes
     -----
     The HTTP library releases a connection as soon as the body has ended,
-    which may be before the head is returned.  `was_reset` needs to know
+    which may be before the head is returned.  `is_truncated` needs to know
     afterwards how the connection ended.
     """
 
@@ -122,9 +123,9 @@
     ):
         """Send an idempotent call whose answer carries no information.
 
-        The call uses a pooled connection.  With a new connection per call, a
-        third of all connections to endpoints would serve to free results,
-        and each costs the endpoint a millisecond.
+        The call uses a pooled connection.  Such calls, which free results,
+        would otherwise account for a third of all connections to endpoints,
+        and a new connection costs the endpoint a millisecond.
 
         Returns
         -------
@@ -134,10 +135,11 @@
             response = await self._send(
                 session, "POST", address, target, headers, body, timeout_s
             )
-            # An endpoint may close a pooled connection at any time; the call
-            # is then retried on a new one.
             if not isinstance(response, kinds.Failure):
                 return await read_full(response, timeout_s=timeout_s)
+            # The endpoint may have closed the pooled connection, which it may
+            # do at any time: the call is retried on a new one unless it timed
+            # out or was not sent.
             if response.kind is kinds.Kind.LATE or not response.sent:
                 break
         return response
@@ -151,7 +153,7 @@
             The target is sent unchanged.
         headers : CIMultiDict
         body : bytes
-        within : float
+        timeout_s : float
             Time limit for the head of the answer.
 
         Returns
@@ -202,7 +204,7 @@
         return _failure(kinds.Kind.REFUSED, err, sent=True)
     finally:
         response.close()
-    if was_reset(response):
+    if is_truncated(response):
         return kinds.Failure(
             kinds.Kind.REFUSED, "answer without length was reset", sent=True
         )
@@ -211,7 +213,7 @@
     )
 
 
-def was_reset(response):
+def is_truncated(response):
     """Return whether an answer that ends with its connection is truncated.
 
     Notes
--- a/sycamoreshed/forwarding/forwarder.py
+++ b/sycamoreshed/forwarding/forwarder.py
@@ -15,13 +15,15 @@
 # Share of the route's target time by which all stage results should be ready,
 # so that the engine can still do the prefill and begin its answer in time.
 STAGES_TARGET_SHARE = 0.85
-# Minimum time that an engine needs for an answer after the last stage.
+# Time reserved for the engine after the last stage: the minimum that it needs
+# for an answer.
 MIN_ENGINE_S = 0.2
-# Target time of stages that run again to resume a stream at another engine:
-# callers disconnect after two seconds without an event, at the earliest.
-RENEW_TARGET_S = 1.0
-# Runs of all stages of a request; results may expire before they are used.
-MAX_STAGE_RUNS = 2
+# Target time of stages that run again for a retry: callers of a stream
+# disconnect after two seconds without an event, at the earliest.
+RERUN_TARGET_S = 1.0
+# Rounds of stages and attempts: results may expire before an engine fetches
+# them.  Stage runs for a retry within a round are not counted.
+MAX_ROUNDS = 2
 
 
 class Outcome(typing.NamedTuple):
@@ -38,7 +40,7 @@
         Whether a part of the answer has been passed on.
     endpoint : Endpoint or None
     first_s : float or None
-        Seconds to the first event of a stream.
+        Seconds from the arrival to the first event of a stream.
     events : int
     """
 
@@ -82,7 +84,7 @@
     def __init__(self, *, parts, stages):
         self._parts = parts
         self._stages = stages
-        self._fetch_delays = input_release.FetchDelays(
+        self._release_delays = input_release.ReleaseDelays(
             distance=parts.placer.distance
         )
 
@@ -104,14 +106,14 @@
             self._stages.free(results)
 
     async def _run(self, request, sink, results):
-        for _ in range(MAX_STAGE_RUNS):
+        for _ in range(MAX_ROUNDS):
             inputs = await self._run_stages(request, results)
             if isinstance(inputs, kinds.Failure):
                 # Stages are not a run of the request itself: they have no
                 # effects and may be repeated.
                 return Outcome(failure=inputs._replace(sent=False))
             release = input_release.Release(
-                free=lambda: self._free(results), delays=self._fetch_delays
+                free=lambda: self._free(results), delays=self._release_delays
             )
             tries = attempts.Attempts(
                 request=request,
@@ -121,8 +123,8 @@
                     inputs, request.route.stages
                 ),
                 release=release,
-                renew=lambda remaining_s: self._run_stages(
-                    request, results, renew_s=remaining_s
+                rerun_stages=lambda remaining_s: self._run_stages(
+                    request, results, rerun_limit_s=remaining_s
                 ),
             )
             try:
@@ -131,16 +133,16 @@
                 release.cancel()
             if outcome.failure is None or outcome.has_started:
                 return outcome
-            if not tries.inputs_gone or tries.may_have_run:
+            if not tries.inputs_missing or tries.may_have_run:
                 return outcome
         return outcome
 
-    async def _run_stages(self, request, results, *, renew_s=None):
+    async def _run_stages(self, request, results, *, rerun_limit_s=None):
         """Run the stages; return handles of their results or a `Failure`.
 
         Parameters
         ----------
-        renew_s : float, optional
+        rerun_limit_s : float, optional
             Remaining seconds, if the stages run again.
         """
         stages = request.route.stages
@@ -148,7 +150,8 @@
             return []
         counts = request.head.pieces
         if not counts:
-            # The engine decides on a request without pieces.
+            # Without pieces there is no stage work; the engine accepts or
+            # rejects the request.
             return []
         if len(counts) != len(stages):
             return kinds.Failure(
@@ -161,12 +164,13 @@
         )
         soft_limit_s = request.stages_deadline - MIN_ENGINE_S - now
         hard_limit_s = request.answer_start_deadline - MIN_ENGINE_S - now
-        if renew_s is not None:
-            target_s = RENEW_TARGET_S
-            # The detection of a lost call takes two seconds.  An earlier
-            # deadline would cut the stream for one such call while its caller
-            # still waits; if the caller disconnects, the work is cancelled.
-            soft_limit_s = hard_limit_s = renew_s - MIN_ENGINE_S
+        if rerun_limit_s is not None:
+            target_s = RERUN_TARGET_S
+            # A lost stage call is detected after two seconds.  The stages may
+            # use all the remaining time, or one lost call would end a stream
+            # whose caller still waits.  If the caller disconnects, the work
+            # is cancelled.
+            soft_limit_s = hard_limit_s = rerun_limit_s - MIN_ENGINE_S
         job = pieces.Job(
             request=request.id,
             stages=[
@@ -207,20 +211,21 @@
                 first_s=result.first_s,
                 events=result.events,
             )
-        if isinstance(result, attempts.Ended):
+        if isinstance(result, attempts.Answered):
             return self._outcome(result)
         sent = result.sent or tries.may_have_run
         return Outcome(failure=result._replace(sent=sent))
 
-    def _outcome(self, ended):
-        if ended.is_final:
-            return Outcome(answer=ended.answer, endpoint=ended.endpoint)
-        return Outcome(failure=ended.failure, endpoint=ended.endpoint)
+    def _outcome(self, answered):
+        if answered.is_passed_on:
+            return Outcome(answer=answered.answer, endpoint=answered.endpoint)
+        return Outcome(failure=answered.failure, endpoint=answered.endpoint)
 
     def _free(self, results):
         """Free stage results; return whether there were any.
 
-        Endpoints have memory for the results of a few requests only.
+        Called early, as endpoints have memory for the results of a few
+        requests only.
         """
         if not results:
             return False
--- a/sycamoreshed/forwarding/health.py
+++ b/sycamoreshed/forwarding/health.py
@@ -9,12 +9,14 @@
 # Consecutive failures after which an endpoint is avoided; a single failure
 # may be caused by the request.
 CONSECUTIVE_FAILURES = 3
+# Avoidance time, which doubles each time within these bounds.
 MIN_AVOID_S = 1.0
 MAX_AVOID_S = 10.0
 # Share of failed answers above which an endpoint is avoided, and the number
-# of answers that the share needs.  An endpoint that fails only a part of its
-# requests has successes in between, so that consecutive failures do not reveal
-# it.  A service that always fails one read in seven must stay below the share.
+# of answers since the first failure that the share needs.  An endpoint that
+# fails only a part of its requests has successes in between, so that
+# consecutive failures do not reveal it.  A constant failure rate of a service,
+# such as one read in seven, must stay below the share.
 FAILURE_SHARE = 0.4
 MIN_ANSWERS = 5
 # Weight of the newest answer in the moving average of failures, which covers
@@ -50,7 +52,7 @@
         return state is not None and now < state.avoid_until
 
     def record_success(self, endpoint, now):
-        """Count a valid answer."""
+        """Count a valid answer of an endpoint that has failed before."""
         state = self._states.get(endpoint.id)
         if state is None:
             return
@@ -73,8 +75,9 @@
         Parameters
         ----------
         reachable : bool
-            False if there was no connection.  The endpoint is then avoided
-            at once, since other requests would not reach it either.
+            False if the endpoint counts as unreachable, usually because
+            there was no connection.  It is then avoided at once, since other
+            requests would not get through either.
         """
         state = self._states.get(endpoint.id, _State())
         share = state.failure_share * (1 - NEWEST_WEIGHT) + NEWEST_WEIGHT
--- a/sycamoreshed/forwarding/input_release.py
+++ b/sycamoreshed/forwarding/input_release.py
@@ -3,21 +3,21 @@
 import asyncio
 import typing
 
-__all__ = ["FetchDelays", "Release"]
+__all__ = ["ReleaseDelays", "Release"]
 
 # Initial delay until results are freed, by the distance of the engine's zone:
 # it covers a connection, the request and the transfer of the results.
 INITIAL_DELAY_S = (0.06, 0.08, 0.16)
 MIN_DELAY_S = 0.04
-# After this time an engine has begun its answer, which proves that it has
-# fetched its inputs.
+# Upper bound of the delay; an engine has normally begun its answer by then,
+# which proves that it has fetched its inputs.
 MAX_DELAY_S = 2.0
-# Factors on the delay for each engine that found its inputs, and for each that
-# did not.
+# Factors on the delay for each stream that begins, whose engine has found its
+# inputs, and for each request whose inputs were freed too early.
 SHRINK = 0.97
 GROW = 1.5
-# The delay stays above the last one that was too short by the factor MARGIN;
-# that lower bound decays by the factor DECAY with each request.
+# Lower bound of the delay: MARGIN times the last delay that was too short,
+# which decays by the factor DECAY with each stream that begins.
 MARGIN = 1.3
 DECAY = 0.998
 
@@ -27,15 +27,15 @@
     too_short_s: float = 0.0
 
 
-class FetchDelays:
+class ReleaseDelays:
     """Delays from sending a request until its inputs are freed, by zone.
 
     Notes
     -----
     An engine reports missing inputs before it runs a request, but shows that
-    it has fetched them only by its first event, after the prefill.  If
-    results of 3 MB were stored until then, they would fill the memory of
-    their endpoints, whose calls would then be only partly filled.
+    it has fetched them only by its first event, after the prefill.  Results
+    of 3 MB each, stored until then, would fill the memory of the stage
+    endpoints, which could then process only partly filled batches.
 
     Parameters
     ----------
@@ -44,7 +44,7 @@
 
     Examples
     --------
-    >>> delays = FetchDelays(distance=lambda zone: 2)
+    >>> delays = ReleaseDelays(distance=lambda zone: 2)
     >>> for _ in range(200):
     ...     delays.record_fetched("south-a")
     >>> delays.delay("south-a")
@@ -59,7 +59,7 @@
         self._zones = {}
 
     def delay(self, zone):
-        """Return the seconds that engines of a zone need to fetch inputs."""
+        """Return the seconds from a request to a zone to its release."""
         return self._state(zone).delay_s
 
     def record_fetched(self, zone):
@@ -90,13 +90,13 @@
     ----------
     free : callable
         Frees the inputs; returns whether there were any.
-    delays : FetchDelays
+    delays : ReleaseDelays
 
     Attributes
     ----------
     freed : bool
-        Whether the stages must run again before the request is sent to
-        another engine.
+        Whether inputs have been freed, so that the stages must run again
+        before a retry.
     """
 
     def __init__(self, *, free, delays):
@@ -106,22 +106,22 @@
         self._zone = None
         self.freed = False
 
-    def record_sent(self, endpoint):
-        """Start the delay when the request is sent to an engine."""
+    def schedule(self, endpoint):
+        """Schedule the release for a request that is sent to an engine."""
         self.cancel()
         self._zone = endpoint.zone
         self._timer = asyncio.get_running_loop().call_later(
             self._delays.delay(endpoint.zone), self._free_inputs
         )
 
-    def record_answer_start(self):
-        """Free the inputs, as the engine has begun its answer."""
+    def free_now(self):
+        """Free the inputs now, as the engine has begun its answer."""
         self.cancel()
         if self._zone is not None:
             self._delays.record_fetched(self._zone)
         self._free_inputs()
 
-    def record_inputs_gone(self):
+    def record_inputs_missing(self):
         """Adjust the delay after an engine did not find its inputs."""
         # Results that expired before they were freed do not indicate that the
         # delay was too short.
--- a/sycamoreshed/forwarding/placement.py
+++ b/sycamoreshed/forwarding/placement.py
@@ -9,12 +9,13 @@
 
 __all__ = ["Choice", "Placer", "connection_share"]
 
-# The endpoint of a prefix is skipped if it has this many more requests in
-# flight than the least loaded one: repeating the prefill is then cheaper than
-# waiting.
+# The endpoint of a prefix is skipped if it has more than this many requests of
+# this instance in flight above the least loaded one: repeating the prefill is
+# then cheaper than waiting.
 AFFINITY_SLACK = 4
 # Requests spill over from the cheapest zone if its least loaded endpoint has
-# this many more requests in flight than the least loaded one of all zones.
+# more than this many requests of this instance in flight above the least
+# loaded one of all zones.
 SPILL_SLACK = 8
 # Cost of a request or response byte that crosses regions or zones, relative
 # to a byte of stage results that an engine fetches from another zone.
@@ -23,8 +24,8 @@
 # Bytes of the request head and of the answer, which are transferred besides
 # the request body.
 OVERHEAD_BYTES = 4000
-# Cost of a round trip to another region, in bytes of stage results; see
-# `delegation.CROSSING_S_MB`.
+# Cost of a round trip to another region, in bytes of stage results: as much as
+# 1 MB, whose cost in time is `staging.delegation.CROSSING_S_MB`.
 REGION_TRIP_COST = 1e6
 # Cost of prefilling a token of a shared prefix again, in bytes of stage
 # results: a prefill delays all requests of the engine.
@@ -61,13 +62,13 @@
     ----------
     endpoint : Endpoint
     reason : str
-    candidates : int
+    healthy_count : int
         Number of available endpoints that are not avoided.
     """
 
     endpoint: typing.Any
     reason: str
-    candidates: int
+    healthy_count: int
 
 
 class Placer:
@@ -186,29 +187,29 @@
             zone: self.transfer_cost(zone, body_bytes, result_bytes)
             for zone in {each.zone for each in pool}
         }
-        # An engine that has the prefix cached is worth a longer distance.
-        # For a long prefix all instances select the same engine, whichever
-        # zone it is in.
+        # An engine with the prefix in its cache is worth additional cost.
+        # For a long prefix this admits all zones, so that all instances rank
+        # the same engine first, wherever it is.
         max_cost = min(costs.values())
         if affinity is not None:
             max_cost += shared_tokens * PREFILL_TOKEN_COST
-        near = [e for e in pool if costs[e.zone] <= max_cost]
-        min_load = min(self.in_flight(each) for each in near)
+        eligible = [e for e in pool if costs[e.zone] <= max_cost]
+        min_load = min(self.in_flight(each) for each in eligible)
         overall_min_load = min(self.in_flight(each) for each in pool)
         if min_load > overall_min_load + SPILL_SLACK:
-            near, min_load = pool, overall_min_load
+            eligible, min_load = pool, overall_min_load
         if affinity is not None:
-            near.sort(
+            eligible.sort(
                 key=lambda each: rendezvous.rank(affinity, each.id),
                 reverse=True,
             )
-            for each in near:
+            for each in eligible:
                 if self.in_flight(each) <= min_load + AFFINITY_SLACK:
                     return Choice(each, "prefix", len(healthy))
         # Each request breaks ties in another order.  With a fixed order all
         # instances would send to the same endpoint first.
         selected = min(
-            near,
+            eligible,
             key=lambda each: (
                 self.in_flight(each),
                 rendezvous.rank(str(now), each.id),
--- a/sycamoreshed/forwarding/requests.py
+++ b/sycamoreshed/forwarding/requests.py
@@ -4,7 +4,8 @@
 
 __all__ = ["Priority", "Request"]
 
-# Engines accept ten priority levels; the routes of a team share three.
+# Engines accept ten priority levels.  Each team priority has three of them for
+# its routes; the least urgent ones share the last level.
 MAX_LEVEL = 9
 ROUTE_LEVELS = 3
 
@@ -12,11 +13,11 @@
 # seconds, four times the target and eight times the pause of their route.
 # Nobody uses a result that is ready after that.
 MIN_WAIT_S = 2.0
-WAIT_TARGETS = 4.0
-WAIT_PAUSES = 8.0
+WAIT_TARGET_FACTOR = 4.0
+WAIT_PAUSE_FACTOR = 8.0
 # The stages of a late request are abandoned after this many times its target:
 # other requests, which may still be in time, wait for the same endpoints.
-STAGE_TARGETS = 1.25
+STAGES_TARGET_FACTOR = 1.25
 
 
 class Priority(typing.NamedTuple):
@@ -37,7 +38,7 @@
     Parameters
     ----------
     id : str
-        Set by the caller, a different one for each of its attempts.
+        Set by the caller, a different one for each of its retries.
     route : Route
     service : str
         The service of the route that the request goes to.
@@ -45,17 +46,20 @@
         None on routes that need no key.
     priority : Priority
     head : Head
-    method, target : str
+    method : str
+    target : str
+        HTTP request target: path and query.
     headers : CIMultiDict
         As received from the caller.
     body : bytes
     started_at : float
         Monotonic time of its arrival.
     waited_s : float
-        Seconds that the caller had waited before it sent this attempt.
+        Seconds that the caller had waited before it sent this request, if
+        it is a retry.
     deadline : float
-        Monotonic time after which neither the caller nor the operator wants
-        an answer.
+        Monotonic time of the caller's deadline or the route's timeout,
+        whichever is earlier.
     """
 
     id: str
@@ -89,17 +93,17 @@
             return self.deadline
         max_wait_s = max(
             MIN_WAIT_S,
-            WAIT_TARGETS * self.route.target_s,
-            WAIT_PAUSES * self.route.pause_s,
+            WAIT_TARGET_FACTOR * self.route.target_s,
+            WAIT_PAUSE_FACTOR * self.route.pause_s,
         )
         return min(self.deadline, self.started_at + max_wait_s)
 
     @property
     def stages_deadline(self):
         """Monotonic time by which the stages are abandoned."""
-        # A retry by the caller is late already when it arrives.  Its stages
-        # get the target time of the route all the same, from the arrival.
-        timeout_s = STAGE_TARGETS * self.route.target_s - self.waited_s
+        # A retry by the caller is late already when it arrives; its stages
+        # still get the full target time from then on.
+        timeout_s = STAGES_TARGET_FACTOR * self.route.target_s - self.waited_s
         timeout_s = max(timeout_s, self.route.target_s)
         return min(self.answer_start_deadline, self.started_at + timeout_s)
 
@@ -109,7 +113,8 @@
 
         Requests with the same key benefit from the same engine.  The last
         part of a prompt belongs to the request alone; the key is that of
-        the part before it, the longest prefix that other requests share.
+        the part before it, the longest prefix that other requests share.  For
+        a prompt with one part it is that part.
         """
         shared = self._shared_parts
         return shared[-1][0] if shared else None
--- a/sycamoreshed/forwarding/sse.py
+++ b/sycamoreshed/forwarding/sse.py
@@ -10,10 +10,10 @@
 
 
 class StreamEvent(typing.NamedTuple):
-    """The bytes of an event, and its id or None if it has none."""
+    """The bytes of an event, and its id, or None without a numeric one."""
 
     raw: bytes
-    number: int | None
+    event_id: int | None
 
 
 class EventBuffer:
@@ -27,7 +27,7 @@
     --------
     >>> buffer = EventBuffer()
     >>> buffer.feed(b"id: 1\ndata: a\n\nid: 2\nda")
-    [StreamEvent(raw=b'id: 1\ndata: a\n\n', number=1)]
+    [StreamEvent(raw=b'id: 1\ndata: a\n\n', event_id=1)]
     >>> buffer.rest
     b'id: 2\nda'
     """
@@ -48,8 +48,8 @@
         for end in _EVENT_END.finditer(data):
             raw = data[start : end.end()]
             id_line = _ID.search(raw)
-            number = int(id_line[1]) if id_line else None
-            events.append(StreamEvent(raw, number))
+            event_id = int(id_line[1]) if id_line else None
+            events.append(StreamEvent(raw, event_id))
             start = end.end()
         self._rest = data[start:]
         return events
--- a/sycamoreshed/forwarding/streams.py
+++ b/sycamoreshed/forwarding/streams.py
@@ -11,12 +11,12 @@
 
 __all__ = ["StreamEnd", "forward_stream"]
 
-# A resumable stream is abandoned at an engine that sends nothing for this many
-# times the pause that its route counts as on time; callers disconnect after
-# eight times the pause.
-TIMEOUT_PAUSES = 4.0
-# Time limit for the first event, as a share of the route's target.  It leaves
-# time for another engine.
+# A resumable stream moves to another engine after no data for this many times
+# the pause that its route counts as on time.  Callers wait for at least eight
+# times the pause, see `requests.WAIT_PAUSE_FACTOR`.
+TIMEOUT_PAUSE_FACTOR = 4.0
+# Time limit for each read before the first event, as a share of the route's
+# target.  It leaves time for another engine.
 FIRST_EVENT_SHARE = 0.6
 MIN_FIRST_EVENT_S = 0.5
 
@@ -67,9 +67,9 @@
 
     Returns
     -------
-    StreamEnd or Ended
-        `Ended` if the next engine answered with a failure before any part
-        of the stream had been passed on.
+    StreamEnd or Answered
+        `Answered` if a later engine sent a full answer before any part of the
+        stream had been passed on.
     """
     progress = _Progress()
     while True:
@@ -84,12 +84,12 @@
             parts.health.record_success(opened.endpoint, parts.clock())
             return _end(None, progress, opened)
         tries.record_failure(opened.endpoint, failure, started_at)
-        if not request.route.resumable or not tries.may_retry(failure):
+        if not request.route.resumable or not tries.try_retry(failure):
             return _end(failure, progress, opened)
         resumed = await tries.open(last_event_id=progress.last_event_id)
         if not isinstance(resumed, attempts.Opened):
             if (
-                isinstance(resumed, attempts.Ended)
+                isinstance(resumed, attempts.Answered)
                 and not progress.has_started
             ):
                 return resumed
@@ -112,7 +112,7 @@
 def _not_resumed(failure, result):
     """Add to a failure why the stream was not resumed."""
     cause = result
-    if isinstance(result, attempts.Ended):
+    if isinstance(result, attempts.Answered):
         cause = result.failure
     # Without a failure the engine sent a full answer instead of the rest of
     # the stream.
@@ -144,7 +144,7 @@
                 return failure
     if buffer.rest:
         return _broken("ended within an event")
-    if client.was_reset(response):
+    if client.is_truncated(response):
         return _broken("reset")
     if not progress.has_started:
         await sink.begin(response)
@@ -153,13 +153,14 @@
 
 
 async def _forward_event(event, response, request, sink, parts, progress):
-    if event.number is not None and progress.last_event_id is not None:
+    if event.event_id is not None and progress.last_event_id is not None:
         expected = int(progress.last_event_id) + 1
-        if event.number < expected and request.route.resumable:
+        # Skip events that have been passed on already.
+        if event.event_id < expected and request.route.resumable:
             return None
-        if event.number != expected:
+        if event.event_id != expected:
             return _broken(
-                f"event {event.number} after {progress.last_event_id}"
+                f"event {event.event_id} after {progress.last_event_id}"
             )
     if not progress.has_started:
         progress.has_started = True
@@ -167,8 +168,8 @@
         await sink.begin(response)
     await sink.send(event.raw)
     progress.count += 1
-    if event.number is not None:
-        progress.last_event_id = str(event.number)
+    if event.event_id is not None:
+        progress.last_event_id = str(event.event_id)
     return None
 
 
@@ -178,7 +179,7 @@
     if not request.route.resumable:
         return remaining_s
     if progress.has_started:
-        return min(remaining_s, TIMEOUT_PAUSES * request.route.pause_s)
+        return min(remaining_s, TIMEOUT_PAUSE_FACTOR * request.route.pause_s)
     first_event_s = max(
         MIN_FIRST_EVENT_S, FIRST_EVENT_SHARE * request.route.target_s
     )
--- a/sycamoreshed/forwarding/tests/builders.py
+++ b/sycamoreshed/forwarding/tests/builders.py
@@ -47,20 +47,20 @@
     is_complete: bool = True
 
 
-_OWN = {names.REQUEST_ID: ID}
-_NOT_RUN = {**_OWN, names.NOT_RUN: "1"}
+_ANSWERS_REQUEST = {names.REQUEST_ID: ID}
+_NOT_RUN = {**_ANSWERS_REQUEST, names.NOT_RUN: "1"}
 
 OUTCOMES = {
     "no connection": Outcome(None, {}, False, is_sent=False),
     "reset": Outcome(None, {}, True),
     "full": Outcome(503, _NOT_RUN, False),
     "too many": Outcome(429, _NOT_RUN, False),
-    "another endpoint": Outcome(421, _OWN, False),
-    "unproved promise": Outcome(503, _OWN, True),
-    "failed": Outcome(500, _OWN, True),
+    "another endpoint": Outcome(421, _ANSWERS_REQUEST, False),
+    "unproved promise": Outcome(503, _ANSWERS_REQUEST, True),
+    "failed": Outcome(500, _ANSWERS_REQUEST, True),
     "another's answer": Outcome(200, {names.REQUEST_ID: "r2"}, True),
-    "cut": Outcome(200, _OWN, True, is_complete=False),
-    "done": Outcome(200, _OWN, True),
+    "cut": Outcome(200, _ANSWERS_REQUEST, True, is_complete=False),
+    "done": Outcome(200, _ANSWERS_REQUEST, True),
 }
 
 
--- a/sycamoreshed/forwarding/tests/test_attempts.py
+++ b/sycamoreshed/forwarding/tests/test_attempts.py
@@ -8,23 +8,25 @@
 from sycamoreshed.forwarding import attempts
 from sycamoreshed.forwarding.tests import builders
 
-# Attempts that a route allows; longer sequences of outcomes add no cases.
+# Attempts that a route allows, and length of the scripts.  Longer scripts
+# would only add outcomes after attempts that do not count; those requests
+# succeed.
 MAX_ATTEMPTS = 3
 
 
 class _FaultyAttempts(attempts.Attempts):
     """Attempts with a deliberate fault: an unknown outcome is ignored."""
 
-    def may_retry(self, failure):
+    def try_retry(self, failure):
         """Decide as if the request could not have run."""
         self._may_have_run = False
-        return super().may_retry(failure)
+        return super().try_retry(failure)
 
 
-async def _play(script, request, kind=attempts.Attempts):
+async def _run_script(script, request, attempts_class=attempts.Attempts):
     """Send a request to endpoints that answer by a script."""
     client = builders.ScriptedClient(script)
-    tries = kind(request=request, parts=builders.parts(client))
+    tries = attempts_class(request=request, parts=builders.parts(client))
     return client, await tries.open(), tries
 
 
@@ -33,11 +35,13 @@
     return itertools.product(outcomes, repeat=MAX_ATTEMPTS)
 
 
-async def _runs_twice(kind):
+async def _runs_twice(attempts_class):
     """Return the outcomes with which a request may have run twice."""
     violations = []
     for script in _scripts():
-        client, _, _ = await _play(script, builders.request(), kind)
+        client, _, _ = await _run_script(
+            script, builders.request(), attempts_class
+        )
         runs = [each for _, each in client.sent if each.may_have_run]
         if len(runs) > 1:
             violations.append([each for _, each in client.sent])
@@ -47,13 +51,14 @@
 async def test_a_request_is_not_retried_after_it_may_have_run():
     """Endpoints reject, fail, disconnect and answer in any order.
 
-    If a ballot is retried after it may have run, it is counted twice.
+    If a request that may run only once, such as a ballot, is retried after it
+    may have run, it is counted twice.
     """
     assert await _runs_twice(attempts.Attempts) == []
 
 
 async def test_the_check_detects_a_deliberate_fault():
-    """Without violations here the check would miss a doubled ballot."""
+    """Without violations here the check would miss a second run."""
     assert await _runs_twice(_FaultyAttempts)
 
 
@@ -61,11 +66,11 @@
 async def test_reported_not_run_is_true(idempotent):
     """A caller that gets the answer "not run" retries its request."""
     for script in _scripts():
-        client, result, tries = await _play(
+        client, result, tries = await _run_script(
             script, builders.request(idempotent=idempotent)
         )
         failure = result
-        if isinstance(result, attempts.Ended):
+        if isinstance(result, attempts.Answered):
             failure = result.failure
         if not isinstance(failure, kinds.Failure):
             continue
@@ -75,9 +80,12 @@
 
 
 async def test_idempotent_requests_are_retried_until_attempts_are_spent():
-    """Each endpoint fails; the route allows three attempts."""
+    """All endpoints have the same outcome; the route allows three attempts.
+
+    A 421 does not count, so that up to four endpoints are tried.
+    """
     for outcome in builders.OUTCOMES.values():
-        client, _, _ = await _play(
+        client, _, _ = await _run_script(
             [outcome] * 9, builders.request(idempotent=True)
         )
         sent = [each for _, each in client.sent if each.is_sent]
@@ -90,13 +98,15 @@
 async def test_an_endpoint_is_tried_once():
     """An endpoint that rejected a request would soon reject it again."""
     for script in _scripts():
-        client, _, _ = await _play(script, builders.request(idempotent=True))
+        client, _, _ = await _run_script(
+            script, builders.request(idempotent=True)
+        )
         addresses = [address for address, _ in client.sent]
         assert len(set(addresses)) == len(addresses)
 
 
 @pytest.mark.parametrize(
-    ("terms", "timeouts_s"),
+    ("route_options", "timeouts_s"),
     [
         ({"streaming": True, "resumable": True}, [2.0, 4.0]),
         ({"idempotent": True}, [2.0, 4.0]),
@@ -105,13 +115,13 @@
     ],
 )
 async def test_an_unresponsive_endpoint_is_abandoned_before_the_deadline(
-    terms, timeouts_s
+    route_options, timeouts_s
 ):
     """An engine accepts a request and becomes unresponsive.
 
-    Its caller would get nothing until the deadline although another engine
-    could answer.  A request that may run only once has to wait.
+    Its caller would get nothing until the deadline unless the time limit left
+    time for another engine.  A request that may run only once has to wait.
     """
-    request = builders.request(target_s=1.0, max_attempts=2, **terms)
-    client, _, _ = await _play([builders.OUTCOMES["reset"]], request)
+    request = builders.request(target_s=1.0, max_attempts=2, **route_options)
+    client, _, _ = await _run_script([builders.OUTCOMES["reset"]], request)
     assert client.timeouts_s == timeouts_s
--- a/sycamoreshed/forwarding/tests/test_budget.py
+++ b/sycamoreshed/forwarding/tests/test_budget.py
@@ -18,7 +18,8 @@
 def test_all_instances_together_stay_within_the_budget():
     """An endpoint fails, and nine instances retry at the same time.
 
-    Without a common bound a failing service would get twice its load.
+    Without a common bound the retries would double the load of a service
+    that is failing.
     """
     for instances in (1, 3, 9, 12):
         allowed = 0.2 * 50 * instances + 58
--- a/sycamoreshed/forwarding/tests/test_client.py
+++ b/sycamoreshed/forwarding/tests/test_client.py
@@ -55,8 +55,9 @@
 async def test_idempotent_calls_share_a_connection():
     """Results are freed several times a second.
 
-    A new connection for each call would cost the endpoint as much time as a
-    part of a piece of work, and it accepts a limited number of connections.
+    A new connection for each call would cost the endpoint a part of the time
+    that a piece of stage work takes, and it accepts a limited number of
+    connections.
     """
     async with serving(max_calls=99) as (endpoint, address):
         async with client.open_client() as endpoint_client:
--- a/sycamoreshed/forwarding/tests/test_forwarder.py
+++ b/sycamoreshed/forwarding/tests/test_forwarder.py
@@ -28,22 +28,24 @@
         return {}
 
 
-GONE = builders.Outcome(
+INPUTS_MISSING = builders.Outcome(
     409, {names.REQUEST_ID: builders.ID, names.NOT_RUN: "1"}, False
 )
 
 
-@pytest.mark.parametrize("terms", [{}, {"idempotent": True}])
-async def test_a_request_is_not_run_again_after_its_answer(terms):
+@pytest.mark.parametrize("route_options", [{}, {"idempotent": True}])
+async def test_a_request_is_not_run_again_after_its_answer(route_options):
     """One engine does not find its inputs, and the next one answers.
 
-    If the missing inputs made the request run again, a ballot would be
-    counted twice, and a caller of a stream would get a second answer within
-    the first.
+    If the missing inputs made the request run again, one that may run only
+    once, such as a ballot, would be counted twice, and a caller of a stream
+    would get a second answer within the first.
     """
-    client = builders.ScriptedClient([GONE, builders.OUTCOMES["done"]])
+    client = builders.ScriptedClient(
+        [INPUTS_MISSING, builders.OUTCOMES["done"]]
+    )
     stage = types.Stage("first", (), 8000)
-    request = builders.request(stages=(stage,), **terms)
+    request = builders.request(stages=(stage,), **route_options)
     request = request._replace(head=request.head._replace(pieces=(1,)))
     under_test = forwarder.Forwarder(
         parts=builders.parts(client), stages=StageRunner()
--- a/sycamoreshed/forwarding/tests/test_placement.py
+++ b/sycamoreshed/forwarding/tests/test_placement.py
@@ -65,8 +65,8 @@
 def test_a_frequent_prefix_does_not_overload_its_engine(placer):
     """Much of the traffic has the same prefix.
 
-    Its requests go to other engines once its own engine has more in flight
-    than the least loaded one by the slack.
+    Its requests go to other engines once the load of its own engine exceeds
+    that of the least loaded one by more than the slack.
     """
     pool = [endpoint(f"e{number}") for number in range(3)]
     for _ in range(30):
@@ -187,7 +187,7 @@
             placer = placement.Placer(
                 zone=zone, regions=regions, health=health
             )
-            # The stage results are stored in the zone of the caller.
+            # The stage results are stored in the zone of the instance.
             choice = placer.choose(
                 pool,
                 0.0,
