--- a/sycamoreshed/forwarding/tests/test_placement.py
+++ b/sycamoreshed/forwarding/tests/test_placement.py
@@ -39,8 +39,8 @@
 def test_large_results_are_served_in_their_zone(placer):
     """The stage results of a request, 7.5 MB, are stored in another zone.
 
-    Fetching them across zones costs a tenth of what the request is worth;
-    its body is much smaller.
+    Fetched from there, they would cost a tenth of the value of the request,
+    since traffic across zones is paid for; its body is much smaller.
     """
     pool = [endpoint("own"), endpoint("far", "south-a")]
     choice = placer.choose(
