--- a/sycamoreshed/forwarding/tests/test_placement.py
+++ b/sycamoreshed/forwarding/tests/test_placement.py
@@ -39,8 +39,8 @@
 def test_large_results_are_served_in_their_zone(placer):
     """The stage results of a request, 7.5 MB, are stored in another zone.
 
-    Fetching them across zones costs a tenth of what the request is worth;
-    its body is much smaller.
+    Fetched from there, they would cost a tenth of the value of the request,
+    since traffic across zones is paid for; its body is much smaller.
     """
     pool = [endpoint("own"), endpoint("far", "south-a")]
     choice = placer.choose(
@@ -65,8 +65,8 @@
 def test_a_frequent_prefix_does_not_overload_its_engine(placer):
     """Much of the traffic has the same prefix.
 
-    Its requests go to other engines once its own engine has more in flight
-    than the least loaded one by the slack.
+    Its requests go to other engines once the load of its own engine exceeds
+    that of the least loaded one by more than the slack.
     """
     pool = [endpoint(f"e{number}") for number in range(3)]
     for _ in range(30):
@@ -187,7 +187,7 @@
             placer = placement.Placer(
                 zone=zone, regions=regions, health=health
             )
-            # The stage results are stored in the zone of the caller.
+            # The stage results are stored in the zone of the instance.
             choice = placer.choose(
                 pool,
                 0.0,
