--- a/sycamoreshed/catalog/catalog.py
+++ b/sycamoreshed/catalog/catalog.py
@@ -31,7 +31,7 @@
         Start of its process, Unix time in ms.
     cores : float
         Processor time it may use, in cores; 0 if it told none.
-    is_leaving : bool
+    is_draining : bool
         Whether it stops; it ends what it has and takes on nothing new.
     """
 
@@ -40,7 +40,7 @@
     control: str
     boot: int = 0
     cores: float = 0.0
-    is_leaving: bool = False
+    is_draining: bool = False
 
 
 class Catalog:
@@ -109,7 +109,7 @@
         return self._changed
 
     @property
-    def ready(self):
+    def is_ready(self):
         """Whether requests can be served by what is known."""
         known = self._replicas[ENDPOINTS].known
         return self._configuration is not None and known
@@ -222,7 +222,7 @@
                     )
         if now < self._lapse_until:
             for key, held in before.items():
-                if key not in copy.rows and not held.leaving:
+                if key not in copy.rows and not held.is_draining:
                     found[key] = held
                     self._lingering[key] = self._lapse_until
         for key in list(self._lingering):
@@ -234,9 +234,11 @@
         before = self._endpoints
         for key, each in found.items():
             held = before.get(key)
-            if held is None or held.leaving != each.leaving:
+            if held is None or held.is_draining != each.is_draining:
                 self._journal.write(
-                    "endpoint_leaving" if each.leaving else "endpoint_seen",
+                    "endpoint_leaving"
+                    if each.is_draining
+                    else "endpoint_seen",
                     endpoint=key,
                     service=each.service,
                     address=each.address,
@@ -253,7 +255,7 @@
         self._endpoints = found
         grouped = {}
         for each in found.values():
-            if not each.leaving:
+            if not each.is_draining:
                 grouped.setdefault(each.service, []).append(each)
         self._by_service = {
             name: tuple(each) for name, each in grouped.items()
--- a/sycamoreshed/catalog/debounce.py
+++ b/sycamoreshed/catalog/debounce.py
@@ -11,22 +11,22 @@
 
     Parameters
     ----------
-    least, most : float
+    min_s, max_s : float
         Seconds; the same for a pause that stays as it is.
 
     Examples
     --------
-    >>> debounce = Debounce(least=0.1, most=0.5)
+    >>> debounce = Debounce(min_s=0.1, max_s=0.5)
     >>> [debounce.pause(0.01) for _ in range(4)]
     [0.2, 0.4, 0.5, 0.5]
     >>> debounce.pause(3.0)
     0.1
     """
 
-    def __init__(self, *, least, most):
-        self._least = least
-        self._most = most
-        self._pause = least
+    def __init__(self, *, min_s, max_s):
+        self._min_s = min_s
+        self._max_s = max_s
+        self._pause = min_s
 
     def pause(self, took_s):
         """Return the pause after a call that brought changes.
@@ -37,7 +37,7 @@
             Seconds until the call was answered.
         """
         if took_s < AT_ONCE_S:
-            self._pause = min(self._most, 2 * self._pause)
+            self._pause = min(self._max_s, 2 * self._pause)
         else:
-            self._pause = self._least
+            self._pause = self._min_s
         return self._pause
--- a/sycamoreshed/catalog/following.py
+++ b/sycamoreshed/catalog/following.py
@@ -15,12 +15,12 @@
 from sycamoreshed.catalog import access as accesses
 from sycamoreshed.catalog import catalog as catalogs
 from sycamoreshed.catalog import debounce as debounces
-from sycamoreshed.catalog import reading
+from sycamoreshed.catalog import readerselection
 from sycamoreshed.catalog import updates
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import kernel
 
-__all__ = ["Follower", "longest_wait"]
+__all__ = ["Follower", "max_wait"]
 
 # After the time for which the store may hold a call, it counts as lost: a
 # connection that went silent is found by that alone.
@@ -28,7 +28,7 @@
 # For calls that the store is to answer at once, when it had failed before.
 ANSWER_S = 1.0
 # What is left for reading anew before an instance has to know; see
-# `longest_wait`.
+# `max_wait`.
 READ_ANEW_S = 0.5
 LEAST_WAIT_S = 1.0
 # Peers' rows change when instances start; nothing waits for them.
@@ -71,7 +71,7 @@
         Pause after all rows were read.
     store : TableStore
     catalog : Catalog
-    peers : PeerBook
+    peers : PeerDirectory
     access : StoreAccess
     session : aiohttp.ClientSession
     journal : Journal
@@ -216,16 +216,16 @@
         return round(self._catalog.age(self._table, self._clock()), 3)
 
     async def _ask_peers(self):
-        for peer in self._peers.some(self._clock()):
+        for peer in self._peers.sample(self._clock()):
             path = f"{PATH}?table={self._table}&after={self._replica.version}"
             reply = await web.fetch(
                 self._session, "GET", peer, path, timeout=PEER_TIMEOUT_S
             )
             now = self._clock()
             if isinstance(reply, kinds.Failure) or reply.status != 200:
-                self._peers.failed(peer, now, str(reply))
+                self._peers.record_failure(peer, now, str(reply))
                 continue
-            self._peers.answered(peer)
+            self._peers.record_success(peer)
             self._apply_update(reply.body, now, peer)
             return
 
@@ -239,7 +239,7 @@
         updates.apply_update(self._catalog, found, now, peer)
 
 
-def longest_wait(stable_s):
+def max_wait(stable_s):
     """Return the seconds for which the store may hold a call.
 
     Parameters
@@ -261,7 +261,7 @@
 
     Examples
     --------
-    >>> longest_wait(4.0)
+    >>> max_wait(4.0)
     3.0
     """
     return max(LEAST_WAIT_S, stable_s - SLACK_S - READ_ANEW_S)
@@ -274,13 +274,13 @@
 async def following(core):
     """Keep the catalog current while the daemon runs."""
     codec = core.part("platform")
-    role = core.part("reading")
+    selector = core.part("reading")
     settings = core.settings
     access = accesses.StoreAccess()
     most = max(REST_S, MOST_REST_SHARE * settings.apply_ms / 1000)
 
     def wait():
-        return role.wait_s(core.clock())
+        return selector.wait_s(core.clock())
 
     for table, remote in codec.tables.items():
         peers = table == catalogs.PEERS
@@ -289,8 +289,8 @@
             remote=remote,
             wait=(lambda: PEERS_WAIT_S) if peers else wait,
             debounce=debounces.Debounce(
-                least=PEERS_REST_S if peers else REST_S,
-                most=PEERS_REST_S if peers else most,
+                min_s=PEERS_REST_S if peers else REST_S,
+                max_s=PEERS_REST_S if peers else most,
             ),
             rest_s=PEERS_REST_S if peers else FIRST_REST_S,
             store=codec.store,
@@ -306,13 +306,15 @@
 
 
 @kernel.plugin("reading", needs=("peers",))
-async def role(core):
+async def selector(core):
     """Provide the choice of who reads the store."""
     settings = core.settings
-    yield reading.ReadingRole(
+    yield readerselection.ReaderSelector(
         own=settings.instance,
         zone=settings.zone,
         peers=core.part("peers"),
-        own_wait_s=longest_wait(settings.stable_ms / 1000),
-        reader_wait_s=reading.reader_wait(settings.apply_ms / 1000, SLACK_S),
+        own_wait_s=max_wait(settings.stable_ms / 1000),
+        reader_wait_s=readerselection.reader_wait(
+            settings.apply_ms / 1000, SLACK_S
+        ),
     )
--- a/sycamoreshed/catalog/peers.py
+++ b/sycamoreshed/catalog/peers.py
@@ -5,7 +5,7 @@
 
 from sycamoreshed.kernel import kernel
 
-__all__ = ["PeerBook"]
+__all__ = ["PeerDirectory"]
 
 # A peer that did not answer is left alone that long; doubles each time up
 # to the longest.  Short enough that an instance restarted within a second
@@ -36,7 +36,7 @@
     cores: float
 
 
-class PeerBook:
+class PeerDirectory:
     """The other instances, by zone, without those that do not answer.
 
     Parameters
@@ -76,9 +76,9 @@
         self._choose = choose or random.Random()
         self._lost = {}
         self.seeds = tuple(seeds)
-        self.is_leaving = False
+        self.is_draining = False
 
-    def some(self, now):
+    def sample(self, now):
         """Return a few control addresses to ask, the nearest first."""
         near, far = [], []
         for peer in self._catalog.peers.values():
@@ -130,7 +130,7 @@
             and peer.name != self._own
             and not self._is_away(peer, now)
         ]
-        if zone == self._zone and not self.is_leaving:
+        if zone == self._zone and not self.is_draining:
             found.append((self._own, _Reached(self._control, self._cores)))
         return found
 
@@ -157,14 +157,14 @@
         if held is not None and held.boot != peer.boot:
             # It was started again since it did not answer.
             del self._lost[peer.control]
-        return peer.is_leaving or self.is_lost(peer.control, now)
+        return peer.is_draining or self.is_lost(peer.control, now)
 
     def is_lost(self, control, now):
         """Return whether a peer is left alone for now."""
         held = self._lost.get(control)
         return held is not None and now < held.until
 
-    def failed(self, control, now, why):
+    def record_failure(self, control, now, why):
         """Leave a peer alone that did not answer."""
         held = self._lost.get(control)
         since, for_s = now, AVOID_S
@@ -183,7 +183,7 @@
                 return peer.boot
         return 0
 
-    def answered(self, control):
+    def record_success(self, control):
         """Note that a peer answered."""
         if self._lost.pop(control, None) is not None:
             self._journal.write("peer_met", peer=control)
@@ -193,7 +193,7 @@
 async def peers(core):
     """Provide the book of peers."""
     settings = core.settings
-    yield PeerBook(
+    yield PeerDirectory(
         catalog=core.part("catalog"),
         own=settings.instance,
         zone=settings.zone,
--- a/sycamoreshed/catalog/reading.py
+++ b/sycamoreshed/catalog/readerselection.py
@@ -9,7 +9,7 @@
 
 from sycamoreshed.membership import rendezvous
 
-__all__ = ["ReadingRole", "reader_wait"]
+__all__ = ["ReaderSelector", "reader_wait"]
 
 # An instance reads for others until this long after their last request.
 ASKED_S = 5.0
@@ -54,14 +54,14 @@
     for_s: float
 
 
-class ReadingRole:
+class ReaderSelector:
     """Whether this instance reads the store, or whom it asks instead.
 
     Parameters
     ----------
     own, zone : str
         This instance's name and zone.
-    peers : PeerBook
+    peers : PeerDirectory
     own_wait_s : float
         Seconds a call at the store is held where each instance reads.
     reader_wait_s : float
@@ -78,7 +78,7 @@
         self._avoided = {}
 
     @property
-    def longest_wait_s(self):
+    def max_wait_s(self):
         """Longest time for which the store may hold a call, in seconds."""
         return max(self._own_wait_s, self._reader_wait_s)
 
@@ -119,7 +119,7 @@
         """Note a request of another instance."""
         self._asked_until = now + ASKED_S
 
-    def failed(self, control, now):
+    def record_failure(self, control, now):
         """Note that a reader did not answer."""
         held = self._avoided.get(control)
         for_s = AVOID_S
@@ -127,7 +127,7 @@
             for_s = min(LONGEST_AVOID_S, 2 * held.for_s)
         self._avoided[control] = _Avoided(now + for_s, for_s)
 
-    def answered(self, control):
+    def record_success(self, control):
         """Note that a reader answered."""
         self._avoided.pop(control, None)
 
--- a/sycamoreshed/catalog/registering.py
+++ b/sycamoreshed/catalog/registering.py
@@ -48,16 +48,16 @@
     while not core.stopping.is_set():
         # Before it knows the services it cannot do for its zone what
         # others would ask of it.
-        if catalog.ready and catalog.peers.get(row.name) != row:
+        if catalog.is_ready and catalog.peers.get(row.name) != row:
             await _write_row(core, row)
         await _sweep(core)
-        pause = random.uniform(*REGISTER_S) if catalog.ready else LOOK_S
+        pause = random.uniform(*REGISTER_S) if catalog.is_ready else LOOK_S
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(pause):
                 await core.stopping.wait()
     # Others pass on what this instance did for its zone before it ends.
-    core.part("peers").is_leaving = True
-    await _write_row(core, row._replace(is_leaving=True))
+    core.part("peers").is_draining = True
+    await _write_row(core, row._replace(is_draining=True))
 
 
 async def _sweep(core):
--- a/sycamoreshed/catalog/relay.py
+++ b/sycamoreshed/catalog/relay.py
@@ -14,7 +14,7 @@
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import kernel
 
-__all__ = ["PATH", "WatchClient", "WatchServer", "longest_hold"]
+__all__ = ["PATH", "WatchClient", "WatchServer", "max_hold"]
 
 PATH = "/control/watch"
 # Of the time in which a change has to be known: a silent reader is noticed
@@ -28,12 +28,12 @@
 CHECK_S = 0.5
 
 
-def longest_hold(apply_s):
+def max_hold(apply_s):
     """Return the seconds for which a reader may hold a request.
 
     Examples
     --------
-    >>> longest_hold(5.0)
+    >>> max_hold(5.0)
     2.0
     """
     return HOLD_SHARE * apply_s
@@ -45,32 +45,32 @@
     Parameters
     ----------
     catalog : Catalog
-    role : ReadingRole
+    selector : ReaderSelector
     access : StoreAccess
     clock : callable
-    most_s : float
+    max_hold_s : float
         Longest time to hold a request.
     """
 
-    def __init__(self, *, catalog, role, access, clock, most_s):
+    def __init__(self, *, catalog, selector, access, clock, max_hold_s):
         self._catalog = catalog
-        self._role = role
+        self._selector = selector
         self._access = access
         self._clock = clock
-        self._most_s = most_s
+        self._most_s = max_hold_s
 
     async def answer(self, request):
         """Return the `Update` for a request once a table has changed."""
         self._access.enable(True)
         end = self._clock() + min(request.wait_s, self._most_s)
         while not self._has_changed(request):
-            self._role.asked(self._clock())
+            self._selector.asked(self._clock())
             left = end - self._clock()
             if left <= 0:
                 break
             await self._changed(left)
         now = self._clock()
-        self._role.asked(now)
+        self._selector.asked(now)
         tables = [
             updates.table_update(
                 self._catalog, table, request.versions.get(table, -1), now
@@ -81,7 +81,7 @@
 
     @property
     def _is_current(self):
-        return self._catalog.ready and not self._access.is_lost
+        return self._catalog.is_ready and not self._access.is_lost
 
     def _has_changed(self, request):
         if self._is_current != request.was_current:
@@ -118,7 +118,7 @@
     Parameters
     ----------
     catalog : Catalog
-    role : ReadingRole
+    selector : ReaderSelector
     access : StoreAccess
     ask : callable
         Coroutine function of a control address, a `WatchRequest` and a
@@ -132,10 +132,19 @@
     """
 
     def __init__(
-        self, *, catalog, role, access, ask, journal, clock, hold_s, stale_s
+        self,
+        *,
+        catalog,
+        selector,
+        access,
+        ask,
+        journal,
+        clock,
+        hold_s,
+        stale_s,
     ):
         self._catalog = catalog
-        self._role = role
+        self._selector = selector
         self._access = access
         self._ask = ask
         self._journal = journal
@@ -180,14 +189,14 @@
         if not self._knows_all():
             return None
         now = self._clock()
-        reader = self._role.reader(now)
+        reader = self._selector.reader(now)
         if reader != self._reader:
             self._reader = reader
             self._was_current = True
             self._access.is_relayed = False
             # A reader that failed before may still be silent.
-            is_open = reader is None or self._role.has_failed(reader)
-            self._access.enable(is_open or self._role.is_reader(now))
+            is_open = reader is None or self._selector.has_failed(reader)
+            self._access.enable(is_open or self._selector.is_reader(now))
             self._journal.write("reader", reader=reader)
         return reader
 
@@ -199,13 +208,13 @@
 
     def _fail(self, reader, why, now):
         self._journal.write("reader_lost", reader=reader, why=why)
-        self._role.failed(reader, now)
+        self._selector.record_failure(reader, now)
         # Changes missed meanwhile may not be known to the next reader either.
         self._access.is_relayed = False
         self._access.enable(True)
 
     def _take(self, found, reader, now):
-        self._role.answered(reader)
+        self._selector.record_success(reader)
         self._was_current = found.is_current
         self._access.is_relayed = True
         for each in found.tables:
@@ -216,7 +225,7 @@
             for each in found.tables
             if each.table != catalogs.PEERS
         )
-        reads = not is_fresh or self._role.is_reader(now)
+        reads = not is_fresh or self._selector.is_reader(now)
         self._access.enable(reads)
 
 
@@ -243,10 +252,10 @@
 async def relay(core):
     """Watch the zone's reader, and serve others if it is this instance."""
     apply_s = core.settings.apply_ms / 1000
-    role = core.part("reading")
+    selector = core.part("reading")
     shared = {
         "catalog": core.part("catalog"),
-        "role": role,
+        "selector": selector,
         "access": core.part("following"),
         "clock": core.clock,
     }
@@ -254,8 +263,8 @@
         **shared,
         ask=lambda *question: _ask(core, *question),
         journal=core.part("journal"),
-        hold_s=longest_hold(apply_s),
-        stale_s=role.longest_wait_s + STALE_SLACK_S,
+        hold_s=max_hold(apply_s),
+        stale_s=selector.max_wait_s + STALE_SLACK_S,
     )
     core.spawn(client.run(), name="watch the reader")
-    yield WatchServer(**shared, most_s=longest_hold(apply_s))
+    yield WatchServer(**shared, max_hold_s=max_hold(apply_s))
--- a/sycamoreshed/catalog/tests/test_following.py
+++ b/sycamoreshed/catalog/tests/test_following.py
@@ -82,7 +82,7 @@
 class NoPeers:
     """There is nobody to ask."""
 
-    def some(self, _now):
+    def sample(self, _now):
         """Return no peers."""
         return []
 
@@ -103,7 +103,7 @@
             table=catalog.SETTINGS,
             remote="remote",
             wait=lambda: wait,
-            debounce=debounce.Debounce(least=0.1, most=MOST_S),
+            debounce=debounce.Debounce(min_s=0.1, max_s=MOST_S),
             store=store,
             catalog=copy,
             peers=NoPeers(),
@@ -159,7 +159,7 @@
     before: its log has "history_gone" and the old "configuration", and the
     new one 5.4 s later.
     """
-    wait = following.longest_wait(stable_s)
+    wait = following.max_wait(stable_s)
     at = kind.at + 0.1
     _, latest, seen = followed(
         [at], seconds=at + 2 * stable_s, kind=kind, wait=wait
--- a/sycamoreshed/catalog/tests/test_peers.py
+++ b/sycamoreshed/catalog/tests/test_peers.py
@@ -33,7 +33,7 @@
 @pytest.fixture
 def book(catalog):
     """Return the book of the instance `own`."""
-    return peers.PeerBook(
+    return peers.PeerDirectory(
         catalog=catalog,
         own="own",
         zone="north-a",
@@ -46,7 +46,7 @@
 
 def test_asked_are_one_near_and_some_elsewhere(book):
     """The store may have turned away all of a zone."""
-    asked = book.some(0.0)
+    asked = book.sample(0.0)
     assert asked[0] in ("a", "b")
     assert set(asked[1:]) == {"far", "seed"}
 
@@ -55,7 +55,7 @@
     now = 0.0
     times = []
     for _ in range(6):
-        book.failed("a", now, "no answer")
+        book.record_failure("a", now, "no answer")
         began = now
         while book.is_lost("a", now):
             now += 0.1
@@ -69,16 +69,16 @@
     Left alone for as long as before, its zone would be short of it.
     """
     for now in (0.0, 2.0, 5.0):
-        book.failed("a", now, "no answer")
+        book.record_failure("a", now, "no answer")
     assert "a" not in book.of_zone("north-a", 5.1)
     catalog.add("a", boot=2)
     assert "a" in book.of_zone("north-a", 5.2)
 
 
 def test_who_leaves_gets_nothing_new(book, catalog):
-    catalog.add("b", boot=1, is_leaving=True)
+    catalog.add("b", boot=1, is_draining=True)
     assert set(book.of_zone("north-a", 0.0)) == {"own", "a"}
-    book.is_leaving = True
+    book.is_draining = True
     assert set(book.of_zone("north-a", 0.0)) == {"a"}
 
 
@@ -86,14 +86,14 @@
     """An instance was replaced; its row would stay for ever."""
     now = 0.0
     while now < peers.GONE_S - peers.LONGEST_AVOID_S:
-        book.failed("a", now, "no answer")
+        book.record_failure("a", now, "no answer")
         assert not book.gone()
         now += 1.0
-    book.failed("a", now + peers.LONGEST_AVOID_S, "no answer")
+    book.record_failure("a", now + peers.LONGEST_AVOID_S, "no answer")
     assert book.gone() == ["a"]
     catalog.add("a", boot=2)
     assert not book.gone()
-    book.answered("a")
+    book.record_success("a")
 
 
 def test_small_instances_do_not_work_for_others(book, catalog):
@@ -101,7 +101,7 @@
     catalog.add("a", boot=1, cores=2.15)
     catalog.add("b", boot=1, cores=0.516)
     assert set(book.eligible("north-a", 0.0)) == {"a"}
-    book.failed("a", 0.0, "no answer")
+    book.record_failure("a", 0.0, "no answer")
     assert set(book.eligible("north-a", 0.1)) == {"b"}
 
 
--- a/sycamoreshed/catalog/tests/test_relay.py
+++ b/sycamoreshed/catalog/tests/test_relay.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sycamoreshed.catalog import reading
+from sycamoreshed.catalog import readerselection
 from sycamoreshed.catalog import updates
 from testkit import relayzone
 from testkit import virtualtime
@@ -177,5 +177,7 @@
 
 
 def test_a_reader_has_to_save_calls():
-    assert reading.reader_wait(5.0, 0.5) == 3.5
-    assert reading.reader_wait(0.5, 0.5) == reading.LEAST_WAIT_S
+    assert readerselection.reader_wait(5.0, 0.5) == 3.5
+    assert (
+        readerselection.reader_wait(0.5, 0.5) == readerselection.LEAST_WAIT_S
+    )
--- a/sycamoreshed/catalog/types.py
+++ b/sycamoreshed/catalog/types.py
@@ -53,7 +53,7 @@
     target_s : float
         Time within which an answer (of a stream: its first event) is
         worth most.
-    pause_s : float
+    max_event_gap_s : float
         Longest pause between events of a stream that is on time.
     priority : int
         0 is the most urgent.
@@ -75,7 +75,7 @@
     resumable: bool = False
     timeout_s: float = 30.0
     target_s: float = 1.0
-    pause_s: float = 1.0
+    max_event_gap_s: float = 1.0
     priority: int = 0
     max_attempts: int = 1
     stages: tuple = ()
@@ -111,7 +111,7 @@
         Most pieces in a call.
     call_s, piece_s : float
         Time of a call, and what each piece adds to it.
-    room_bytes : float
+    memory_bytes : float
         Memory for results.
     result_ttl_s : float
         How long a result is kept after the end of its call.
@@ -122,7 +122,7 @@
     batch: int
     call_s: float
     piece_s: float
-    room_bytes: float
+    memory_bytes: float
     result_ttl_s: float
 
 
@@ -180,7 +180,7 @@
     services : dict of str to Service
     teams : dict of str to Team
         By the keys that callers show.
-    keyed : bool
+    requires_key : bool
         Whether requests need a key at all.
     limits : Limits
     """
@@ -189,7 +189,7 @@
     routes: tuple
     services: dict
     teams: dict
-    keyed: bool
+    requires_key: bool
     limits: Limits
 
 
@@ -199,13 +199,14 @@
     Parameters
     ----------
     id : str
-        New with nearly each start; `born` tells apart those where not.
+        Usually new with each start; otherwise `started_at_ms` tells starts
+        apart.
     service, address, zone : str
     slots : int
         Requests worked on at a time.
-    leaving : bool
+    is_draining : bool
         Whether it has asked for no new requests.
-    born : int
+    started_at_ms : int
         Start of the process, Unix time in ms; 0 if it told none.
     """
 
@@ -214,5 +215,5 @@
     address: str
     zone: str
     slots: int
-    leaving: bool = False
-    born: int = 0
+    is_draining: bool = False
+    started_at_ms: int = 0
--- a/sycamoreshed/forwarding/requests.py
+++ b/sycamoreshed/forwarding/requests.py
@@ -90,7 +90,7 @@
         max_wait_s = max(
             MIN_WAIT_S,
             WAIT_TARGETS * self.route.target_s,
-            WAIT_PAUSES * self.route.pause_s,
+            WAIT_PAUSES * self.route.max_event_gap_s,
         )
         return min(self.deadline, self.started_at + max_wait_s)
 
--- a/sycamoreshed/forwarding/streams.py
+++ b/sycamoreshed/forwarding/streams.py
@@ -178,7 +178,7 @@
     if not request.route.resumable:
         return remaining_s
     if progress.has_started:
-        return min(remaining_s, TIMEOUT_PAUSES * request.route.pause_s)
+        return min(remaining_s, TIMEOUT_PAUSES * request.route.max_event_gap_s)
     first_event_s = max(
         MIN_FIRST_EVENT_S, FIRST_EVENT_SHARE * request.route.target_s
     )
--- a/sycamoreshed/gateway/handler.py
+++ b/sycamoreshed/gateway/handler.py
@@ -137,7 +137,7 @@
     async def _admit(self, http, head, began):
         """Return the `Request`, or the `Failure` that refuses it."""
         configuration = self._catalog.configuration
-        if not self._catalog.ready:
+        if not self._catalog.is_ready:
             return kinds.Failure(
                 kinds.Kind.NOT_READY, "no configuration is known yet"
             )
@@ -146,7 +146,7 @@
         if route is None:
             return kinds.Failure(kinds.Kind.UNKNOWN_PATH, "no such route")
         team = None
-        if configuration.keyed and not route.anonymous:
+        if configuration.requires_key and not route.anonymous:
             team = configuration.teams.get(head.key)
             if team is None:
                 return kinds.Failure(kinds.Kind.UNKNOWN_KEY, "no such key")
--- a/sycamoreshed/gateway/inner.py
+++ b/sycamoreshed/gateway/inner.py
@@ -126,7 +126,7 @@
         return {
             "instance": core.settings.instance,
             "version": configuration.version if configuration else None,
-            "ready": catalog.ready and not core.stopping.is_set(),
+            "ready": catalog.is_ready and not core.stopping.is_set(),
             "in_flight": core.part("handler").in_flight,
             "peers": sorted(catalog.peers),
             "reader": core.part("reading").reader(now),
--- a/sycamoreshed/gateway/listeners.py
+++ b/sycamoreshed/gateway/listeners.py
@@ -58,7 +58,7 @@
     catalog = core.part("catalog")
 
     async def ready(_http):
-        if catalog.ready and not core.stopping.is_set():
+        if catalog.is_ready and not core.stopping.is_set():
             return web.Response(text="ready\n")
         return web.Response(status=503, text="not ready\n")
 
--- a/sycamoreshed/platform/records.py
+++ b/sycamoreshed/platform/records.py
@@ -123,7 +123,7 @@
         routes=tuple(_route(each) for each in wire.routes),
         services={each.name: _service(each) for each in wire.services},
         teams=teams,
-        keyed=wire.tenants is not None,
+        requires_key=wire.tenants is not None,
         limits=types.Limits(
             header_bytes=wire.limits.max_header_bytes,
             body_bytes=wire.limits.max_body_bytes,
@@ -147,7 +147,7 @@
         resumable=streaming and wire.resumable,
         timeout_s=wire.timeout_ms / 1000,
         target_s=wire.target_latency_ms / 1000,
-        pause_s=wire.itl_target_ms / 1000,
+        max_event_gap_s=wire.itl_target_ms / 1000,
         priority=wire.priority,
         max_attempts=max(1, wire.max_attempts),
         stages=tuple(
@@ -171,7 +171,7 @@
             batch=max(1, spec.batch),
             call_s=spec.call_ms / 1000,
             piece_s=spec.item_ms / 1000,
-            room_bytes=spec.headroom_mb * MB,
+            memory_bytes=spec.headroom_mb * MB,
             result_ttl_s=spec.handle_s,
         )
     return types.Service(
@@ -204,6 +204,6 @@
         address=wire.address,
         zone=wire.zone,
         slots=max(1, wire.slots),
-        leaving=_STATES[wire.state],
-        born=wire.born,
+        is_draining=_STATES[wire.state],
+        started_at_ms=wire.born,
     )
--- a/sycamoreshed/platform/tests/test_records.py
+++ b/sycamoreshed/platform/tests/test_records.py
@@ -58,8 +58,8 @@
     document = wiredata.configuration()
     del document["tenants"]
     raw = msgspec.json.encode(document)
-    assert not records.decode_configuration(raw).keyed
-    assert decoded(tenants=[]).keyed
+    assert not records.decode_configuration(raw).requires_key
+    assert decoded(tenants=[]).requires_key
 
 
 @pytest.mark.parametrize(
@@ -84,4 +84,4 @@
         wiredata.beat("10.0.0.1:80", state="draining", more=[1])
     )
     found = records.decode_endpoint("i-1", raw)
-    assert found.leaving and found.id == "i-1"
+    assert found.is_draining and found.id == "i-1"
--- a/sycamoreshed/staging/delegation.py
+++ b/sycamoreshed/staging/delegation.py
@@ -65,7 +65,7 @@
     instance, zone : str
         This instance's name and zone.
     catalog : Catalog
-    peers : PeerBook
+    peers : PeerDirectory
     placer : Placer
     health : Health
     session : aiohttp.ClientSession
@@ -306,13 +306,13 @@
             body=job,
         )
         if isinstance(reply, kinds.Failure):
-            self._peers.failed(control, self._clock(), reply.reason)
+            self._peers.record_failure(control, self._clock(), reply.reason)
             return reply
         if reply.status != 200:
             return kinds.Failure(
                 kinds.Kind.NO_ENDPOINT, f"instance answered {reply.status}"
             )
-        self._peers.answered(control)
+        self._peers.record_success(control)
         return msgspec.convert(reply.body, pieces.JobOutcome)
 
     async def _free_remotely(self, zone, control, freed):
--- a/sycamoreshed/staging/pool.py
+++ b/sycamoreshed/staging/pool.py
@@ -53,7 +53,7 @@
 
 def is_large_result(size, spec):
     """Return whether a few results of a size fill an endpoint's memory."""
-    return size >= LARGE_SHARE * spec.room_bytes
+    return size >= LARGE_SHARE * spec.memory_bytes
 
 
 def _group_by_stage(queue):
@@ -222,7 +222,7 @@
         """
         return (
             is_large_result(group[0].result_bytes, self.spec)
-            and size <= self.spec.room_bytes
+            and size <= self.spec.memory_bytes
             and len(group) <= self.spec.batch
         )
 
@@ -230,7 +230,7 @@
         """Return the free memory for results at an endpoint."""
         stored = self._stored.get(endpoint.id, 0)
         _, unknown = self._full.get(endpoint.id, (0.0, 0.0))
-        return self.spec.room_bytes - stored - unknown
+        return self.spec.memory_bytes - stored - unknown
 
     def start_call(self, batch, now):
         """Count a call that is sent, and the memory for its results.
--- a/sycamoreshed/staging/scheduling.py
+++ b/sycamoreshed/staging/scheduling.py
@@ -427,9 +427,9 @@
             return 0.0
         concurrency = max(MIN_CONCURRENCY, self._concurrency(service))
         count = load.count
-        if load.result_bytes > spec.room_bytes * concurrency:
+        if load.result_bytes > spec.memory_bytes * concurrency:
             # The other pieces wait for memory and delay no other job.
-            count *= spec.room_bytes * concurrency / load.result_bytes
+            count *= spec.memory_bytes * concurrency / load.result_bytes
         piece_s = spec.piece_s + spec.call_s / (MEAN_FILL * spec.batch)
         return count * piece_s / concurrency
 
@@ -439,5 +439,5 @@
         if spec is None:
             return 0.0
         size += self._stored_bytes(service)
-        memory = spec.room_bytes * max(1.0, self._concurrency(service))
+        memory = spec.memory_bytes * max(1.0, self._concurrency(service))
         return max(0.0, size / memory - 1.0) * RESULT_LIFETIME_S
--- a/sycamoreshed/staging/tests/builders.py
+++ b/sycamoreshed/staging/tests/builders.py
@@ -18,7 +18,7 @@
         "batch": 4,
         "call_s": 0.15,
         "piece_s": 0.01,
-        "room_bytes": 1000.0,
+        "memory_bytes": 1000.0,
         "result_ttl_s": 4.0,
         **changes,
     }
--- a/sycamoreshed/staging/tests/test_loads.py
+++ b/sycamoreshed/staging/tests/test_loads.py
@@ -11,13 +11,13 @@
 SMALL = 8_000
 SPECS = {
     "first": builders.spec(
-        call_s=0.15, piece_s=0.032, batch=4, room_bytes=20.5e6
+        call_s=0.15, piece_s=0.032, batch=4, memory_bytes=20.5e6
     ),
     "second": builders.spec(
-        call_s=0.15, piece_s=0.007, batch=18, room_bytes=3.1e6
+        call_s=0.15, piece_s=0.007, batch=18, memory_bytes=3.1e6
     ),
     "third": builders.spec(
-        call_s=0.15, piece_s=0.0037, batch=35, room_bytes=0.6e6
+        call_s=0.15, piece_s=0.0037, batch=35, memory_bytes=0.6e6
     ),
 }
 
--- a/testkit/relayzone.py
+++ b/testkit/relayzone.py
@@ -10,7 +10,7 @@
 from sycamoreshed.catalog import debounce
 from sycamoreshed.catalog import following
 from sycamoreshed.catalog import peers
-from sycamoreshed.catalog import reading
+from sycamoreshed.catalog import readerselection
 from sycamoreshed.catalog import relay
 from sycamoreshed.errors import kinds
 from sycamoreshed.platform import store as stores
@@ -97,7 +97,7 @@
             configuration_key="config",
             journal=self.journal,
         )
-        self.peers = peers.PeerBook(
+        self.peers = peers.PeerDirectory(
             catalog=self.catalog,
             own=name,
             zone=ZONE,
@@ -106,36 +106,38 @@
             journal=self.journal,
             cores=cores,
         )
-        self.role = reading.ReadingRole(
+        self.selector = readerselection.ReaderSelector(
             own=name,
             zone=ZONE,
             peers=self.peers,
-            own_wait_s=following.longest_wait(zone.stable_s),
-            reader_wait_s=reading.reader_wait(zone.apply_s, following.SLACK_S),
+            own_wait_s=following.max_wait(zone.stable_s),
+            reader_wait_s=readerselection.reader_wait(
+                zone.apply_s, following.SLACK_S
+            ),
         )
         access = accesses.StoreAccess()
         shared = {
             "catalog": self.catalog,
-            "role": self.role,
+            "selector": self.selector,
             "access": access,
             "clock": clock,
         }
-        hold_s = relay.longest_hold(zone.apply_s)
-        self.watch_server = relay.WatchServer(**shared, most_s=hold_s)
+        hold_s = relay.max_hold(zone.apply_s)
+        self.watch_server = relay.WatchServer(**shared, max_hold_s=hold_s)
         client = relay.WatchClient(
             **shared,
             ask=lambda *question: zone.ask(name, *question),
             journal=self.journal,
             hold_s=hold_s,
-            stale_s=self.role.longest_wait_s + relay.STALE_SLACK_S,
+            stale_s=self.selector.max_wait_s + relay.STALE_SLACK_S,
         )
         jobs = [client.run()]
         for table in TABLES:
             follower = following.Follower(
                 table=table,
                 remote=table,
-                wait=lambda: self.role.wait_s(clock()),
-                debounce=debounce.Debounce(least=0.1, most=0.5),
+                wait=lambda: self.selector.wait_s(clock()),
+                debounce=debounce.Debounce(min_s=0.1, max_s=0.5),
                 store=zone.store.of(name),
                 catalog=self.catalog,
                 peers=_Nobody(),
@@ -167,7 +169,7 @@
 class _Nobody:
     """There are no peers elsewhere."""
 
-    def some(self, _now):
+    def sample(self, _now):
         """Return no peers."""
         return []
 
@@ -218,7 +220,8 @@
     def readers(self):
         """Names of the instances that others ask."""
         found = {
-            each.role.reader(self.clock()) for each in self.instances.values()
+            each.selector.reader(self.clock())
+            for each in self.instances.values()
         }
         return found - {None}
 
--- a/testkit/stagezone.py
+++ b/testkit/stagezone.py
@@ -102,7 +102,7 @@
         if now > item.deadline:
             return _Result(None, "late")
         size = self._sizes[item.stage]
-        if sum(self._stored.values()) + size > self._spec.room_bytes:
+        if sum(self._stored.values()) + size > self._spec.memory_bytes:
             return _Result(None, "room")
         handle = f"{self._name}/{item.request}/{item.stage}/{item.index}"
         self._stored[handle] = size
