--- a/sycamoreshed/forwarding/requests.py
+++ b/sycamoreshed/forwarding/requests.py
@@ -94,7 +94,7 @@
         max_wait_s = max(
             MIN_WAIT_S,
             WAIT_TARGET_FACTOR * self.route.target_s,
-            WAIT_PAUSE_FACTOR * self.route.pause_s,
+            WAIT_PAUSE_FACTOR * self.route.max_event_gap_s,
         )
         return min(self.deadline, self.started_at + max_wait_s)
 
--- a/sycamoreshed/forwarding/streams.py
+++ b/sycamoreshed/forwarding/streams.py
@@ -179,7 +179,9 @@
     if not request.route.resumable:
         return remaining_s
     if progress.has_started:
-        return min(remaining_s, TIMEOUT_PAUSE_FACTOR * request.route.pause_s)
+        return min(
+            remaining_s, TIMEOUT_PAUSE_FACTOR * request.route.max_event_gap_s
+        )
     first_event_s = max(
         MIN_FIRST_EVENT_S, FIRST_EVENT_SHARE * request.route.target_s
     )
--- a/sycamoreshed/staging/queueing.py
+++ b/sycamoreshed/staging/queueing.py
@@ -54,7 +54,7 @@
 
 def is_large_result(size, spec):
     """Return whether results of a size are large for an endpoint."""
-    return size >= LARGE_SHARE * spec.room_bytes
+    return size >= LARGE_SHARE * spec.memory_bytes
 
 
 def _group_by_stage(queue):
@@ -227,7 +227,7 @@
         """
         return (
             is_large_result(group[0].result_bytes, self.spec)
-            and size <= self.spec.room_bytes
+            and size <= self.spec.memory_bytes
             and len(group) <= self.spec.batch
         )
 
@@ -235,7 +235,7 @@
         """Return the free memory for results at an endpoint."""
         stored = self._stored.get(endpoint.id, 0)
         _, uncounted = self._uncounted.get(endpoint.id, (0.0, 0.0))
-        return self.spec.room_bytes - stored - uncounted
+        return self.spec.memory_bytes - stored - uncounted
 
     def start_call(self, batch, now):
         """Record the start of a call, and the memory for its results.
