--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -80,8 +80,8 @@
     for endpoint in config.endpoints["language"]:
         call = adapters.Call("r", "generate", "a", 1000.0, "dossier")
         answer = adapters.StageAnswer("text", 100)
-        part.loads.begin(endpoint)
-        part.finished(endpoint, call, answer, 0.0, 0.1)
+        part.loads.record_start(endpoint)
+        part.record_result(endpoint, call, answer, 0.0, 0.1)
 
 
 def measure(candidates, teams, policy="balanced", *, logged=False):
@@ -125,16 +125,16 @@
     part = admission.Admission(
         settings=settings,
         limits=limits.Limits(
-            instance="a", live=lambda _: 410, tell=lambda _: None
+            instance="a", live_count=lambda _: 410, publish=lambda _: None
         ),
-        instances=lambda _: 410,
+        live_count=lambda _: 410,
         clock=time.monotonic,
     )
     begun = time.process_time()
     for request in asked:
-        ticket = await part.enter(request, 0.0)
+        ticket = await part.acquire(request, 0.0)
         if hasattr(ticket, "gate"):
-            part.leave(ticket, 0.1)
+            part.release(ticket, 0.1)
     return time.process_time() - begun
 
 
--- a/examples/own_policy.py
+++ b/examples/own_policy.py
@@ -13,12 +13,12 @@
 
 
 @policies.POLICIES.register("own_zone")
-def own_zone(candidates, situation, now):
+def own_zone(candidates, context, now):
     """Pick the least loaded of the own zone, else of all."""
-    near = [item for item in candidates if item.zone == situation.zone]
+    near = [item for item in candidates if item.zone == context.zone]
     return min(
         near or candidates,
-        key=lambda item: situation.loads.estimate(item, now),
+        key=lambda item: context.loads.utilization(item, now),
     )
 
 
@@ -31,14 +31,14 @@
         }
     )
     candidates = config.endpoints["encoder"]
-    situation = policies.Situation(
+    context = policies.RoutingContext(
         zone="south-a", region="south", prefix=None, loads=loads.Loads()
     )
     policy = policies.POLICIES.get("own_zone")
     chosen = collections.Counter()
     for turn in range(10):
-        choice = policy(candidates, situation, float(turn))
-        situation.loads.begin(choice)
+        choice = policy(candidates, context, float(turn))
+        context.loads.record_start(choice)
         chosen[choice.name] += 1
     print(dict(chosen))
 
--- a/sycamoreshed/admission/admission.py
+++ b/sycamoreshed/admission/admission.py
@@ -40,15 +40,15 @@
     settings : Settings
     limits : Limits or None
         None for no limits.
-    instances : callable
+    live_count : callable
         Takes monotonic seconds, returns the number of live instances.
     clock : callable
     """
 
-    def __init__(self, *, settings, instances, clock, limits=None):
+    def __init__(self, *, settings, live_count, clock, limits=None):
         self._settings = settings
         self._limits = limits
-        self._instances = instances
+        self._live_count = live_count
         self._clock = clock
         self._gates = {}
         self._numbers = itertools.count()
@@ -60,7 +60,7 @@
             gate.running + gate.waiting for gate in self._gates.values()
         )
 
-    async def enter(self, request, now):
+    async def acquire(self, request, now):
         """Wait for a slot.
 
         Parameters
@@ -77,7 +77,7 @@
         service = gate_service(request.config, request.pipeline)
         gate = self._gate(service)
         slots = _slots(request.config, service)
-        gate.limiter.resize(slots, self._instances(now))
+        gate.limiter.resize(slots, self._live_count(now))
         entry = self._entry(request, gate, now)
         refusal = gate.refusal(entry, request.deadline, now)
         if refusal is None:
@@ -85,11 +85,11 @@
         if refusal is not None:
             return refusal
         seconds = request.spec["deadline_ms"] / 1000
-        return await gate.enter(entry, seconds, now)
+        return await gate.acquire(entry, seconds, now)
 
-    def leave(self, ticket, now):
+    def release(self, ticket, now):
         """Give a slot back."""
-        ticket.gate.leave(ticket, now)
+        ticket.gate.release(ticket, now)
 
     def _over_limit(self, request, now):
         spec = request.config.entry("teams", request.team)
@@ -101,7 +101,7 @@
         team = request.config.entry("teams", request.team) or {}
         # Begun later than this it would most likely end late, and have
         # taken a slot from one that would not.
-        need = gate.run_time(request.pipeline).high(now)
+        need = gate.run_time(request.pipeline).upper_bound(now)
         return fairqueue.Entry(
             request=request.id,
             team=request.team,
@@ -141,6 +141,6 @@
     yield Admission(
         settings=core.settings,
         limits=core.part("limits"),
-        instances=limits.LiveCount(membership=core.part("membership")),
+        live_count=limits.LiveCount(membership=core.part("membership")),
         clock=core.clock,
     )
--- a/sycamoreshed/admission/budget.py
+++ b/sycamoreshed/admission/budget.py
@@ -19,11 +19,11 @@
     Examples
     --------
     >>> budget = RetryBudget(share=0.5, reserve=1)
-    >>> budget.spend(), budget.spend()
+    >>> budget.try_spend(), budget.try_spend()
     (True, False)
-    >>> budget.earn()
-    >>> budget.earn()
-    >>> budget.spend()
+    >>> budget.record_first_attempt()
+    >>> budget.record_first_attempt()
+    >>> budget.try_spend()
     True
     """
 
@@ -37,11 +37,11 @@
         """Retries that may be sent now."""
         return self._tokens
 
-    def earn(self):
+    def record_first_attempt(self):
         """Count a first attempt."""
         self._tokens = min(self._most, self._tokens + self._share)
 
-    def spend(self):
+    def try_spend(self):
         """Take one retry; return whether there was one."""
         if self._tokens < 1:
             return False
--- a/sycamoreshed/admission/gate.py
+++ b/sycamoreshed/admission/gate.py
@@ -14,7 +14,7 @@
 
 
 class Ticket(typing.NamedTuple):
-    """Leave to run; given back by `Gate.leave`.
+    """Leave to run; given back by `Gate.release`.
 
     Parameters
     ----------
@@ -80,14 +80,14 @@
             return None
         times = self._times[entry.pipeline]
         slack = deadline - now
-        if slack < times.low(now):
+        if slack < times.lower_bound(now):
             return kinds.Failure(
                 kinds.Kind.HOPELESS, "less time left than it takes"
             )
         wait = self._wait_time(entry, now)
         # With a slot free nobody is kept waiting by one that may be late,
         # and refusing it would be a loss for sure.
-        if not wait or wait + times.high(now) <= slack:
+        if not wait or wait + times.upper_bound(now) <= slack:
             return None
         return kinds.Failure(
             kinds.Kind.SHED,
@@ -95,7 +95,7 @@
             retry_after=_retry_after(wait),
         )
 
-    async def enter(self, entry, deadline_s, now):
+    async def acquire(self, entry, deadline_s, now):
         """Wait for a slot.
 
         Returns
@@ -111,7 +111,7 @@
             self._push_out(now)
         return await self._wait(entry, deadline_s, now)
 
-    def leave(self, ticket, now):
+    def release(self, ticket, now):
         """Give a slot back and start those who can run now."""
         seconds = now - ticket.started
         self._times[ticket.pipeline].add(seconds, now)
--- a/sycamoreshed/admission/limits.py
+++ b/sycamoreshed/admission/limits.py
@@ -65,9 +65,9 @@
     Parameters
     ----------
     instance : str
-    live : callable
+    live_count : callable
         Takes monotonic seconds, returns the number of live instances.
-    tell : callable
+    publish : callable
         Takes demand by team, to spread to the other instances.
 
     Notes
@@ -76,10 +76,10 @@
     full again, since a new one would be the same.
     """
 
-    def __init__(self, *, instance, live, tell):
+    def __init__(self, *, instance, live_count, publish):
         self._instance = instance
-        self._live = live
-        self._tell = tell
+        self._live_count = live_count
+        self._publish = publish
         self._buckets = {}
         self._heard = {}
         self._told = {}
@@ -137,7 +137,7 @@
         seconds = ROUND_S if self._stepped is None else now - self._stepped
         self._stepped = now
         fade = 0.5 ** (seconds / MOST_HALF_LIFE_S)
-        self._most = max(self._live(now), self._most * fade)
+        self._most = max(self._live_count(now), self._most * fade)
         self._drop_old(now)
         for bucket in self._buckets.values():
             rate = bucket.count / seconds
@@ -150,7 +150,9 @@
             bucket.part = shares.part(self._view(team, now, bucket.rate))
 
     def _drop_old(self, now):
-        valid = max(TOLD_VALID_S, 3 * _interval(self._live(now), MOST_TOLD))
+        valid = max(
+            TOLD_VALID_S, 3 * _interval(self._live_count(now), MOST_TOLD)
+        )
         for instance, (at, _) in list(self._heard.items()):
             if now - at > valid:
                 del self._heard[instance]
@@ -164,8 +166,8 @@
             told[team] for _, told in self._heard.values() if team in told
         ]
         return shares.View(
-            live=self._live(now),
-            most=max(self._most, self._live(now)),
+            live=self._live_count(now),
+            most=max(self._most, self._live_count(now)),
             own=self._told.get(team, 0.0),
             others=tuple(others),
             rate=rate,
@@ -174,7 +176,7 @@
     def _tell_demand(self, now):
         """Tell the demand of teams that need more than the even floor."""
         hot = {}
-        live = self._live(now)
+        live = self._live_count(now)
         for team, bucket in self._buckets.items():
             if bucket.demand * live > shares.FLOOR * bucket.rate:
                 hot[team] = float(f"{bucket.demand:.3g}")
@@ -188,7 +190,7 @@
         if (hot and old) or _differs(hot, self._told):
             self._told = hot
             self._told_at = now
-            self._tell(hot)
+            self._publish(hot)
 
     def _pressure(self, team):
         bucket = self._buckets[team]
@@ -226,8 +228,8 @@
 
     part = Limits(
         instance=instance,
-        live=LiveCount(membership=membership),
-        tell=tell,
+        live_count=LiveCount(membership=membership),
+        publish=tell,
     )
     gossip.on_record(shares.TOPIC, part.hear)
     core.spawn(_keep(part, core.clock), name="limits")
--- a/sycamoreshed/admission/tests/test_budget.py
+++ b/sycamoreshed/admission/tests/test_budget.py
@@ -18,9 +18,9 @@
     earned = spent = 0
     for earns in steps:
         if earns:
-            budget.earn()
+            budget.record_first_attempt()
             earned += 1
         else:
-            spent += budget.spend()
+            spent += budget.try_spend()
         assert budget.tokens >= 0
         assert spent <= reserve + share * earned + 1e-6
--- a/sycamoreshed/admission/tests/test_gate.py
+++ b/sycamoreshed/admission/tests/test_gate.py
@@ -28,21 +28,21 @@
 async def waiting(gate, *entries):
     tasks = []
     for item in entries:
-        tasks.append(asyncio.create_task(gate.enter(item, 5.0, 0.0)))
+        tasks.append(asyncio.create_task(gate.acquire(item, 5.0, 0.0)))
         await asyncio.sleep(0)
     return tasks
 
 
 async def measure(gate, seconds):
-    ticket = await gate.enter(entry(0), 5.0, 0.0)
-    gate.leave(ticket, seconds)
+    ticket = await gate.acquire(entry(0), 5.0, 0.0)
+    gate.release(ticket, seconds)
 
 
 async def test_slots_are_given_back_and_passed_on():
     gate = make(slots=2)
     tasks = await waiting(gate, *(entry(n) for n in range(4)))
     assert (gate.running, gate.waiting) == (2, 2)
-    gate.leave(await tasks[0], 0.1)
+    gate.release(await tasks[0], 0.1)
     assert isinstance(await tasks[2], gates.Ticket)
     assert (gate.running, gate.waiting) == (2, 1)
 
@@ -51,7 +51,7 @@
     """Callers hang up while they wait; their places must not leak."""
     gate = make()
     tasks = await waiting(gate, entry(1), entry(2), entry(3))
-    gate.leave(await tasks[0], 0.1)
+    gate.release(await tasks[0], 0.1)
     tasks[1].cancel()
     tasks[2].cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -67,8 +67,8 @@
     assert pushed.kind == kinds.Kind.SHED
     assert not pushed.sent
     assert pushed.retry_after > 0
-    gate.leave(await tasks[0], 0.1)
-    gate.leave(await tasks[1], 0.2)
+    gate.release(await tasks[0], 0.1)
+    gate.release(await tasks[1], 0.2)
     assert isinstance(await asyncio.wait_for(other, 5), gates.Ticket)
 
 
@@ -125,6 +125,10 @@
     for seconds in (0.2, 1.5, 0.2, 1.5):
         await measure(gate, seconds)
     await waiting(gate, entry(1))
-    assert gate.run_time("p").low(0.0) < 0.7 < gate.run_time("p").high(0.0)
+    assert (
+        gate.run_time("p").lower_bound(0.0)
+        < 0.7
+        < gate.run_time("p").upper_bound(0.0)
+    )
     failure = gate.refusal(entry(2), 0.7, 0.0)
     assert (failure is not None) == refused
--- a/sycamoreshed/admission/tests/test_limits.py
+++ b/sycamoreshed/admission/tests/test_limits.py
@@ -79,7 +79,7 @@
                     self.parts[other].hear(str(index), [0, demand], self.now)
 
         return limits.Limits(
-            instance=str(index), live=lambda _: self.count, tell=tell
+            instance=str(index), live_count=lambda _: self.count, publish=tell
         )
 
     def send(self, seconds, rates, spec):
@@ -117,7 +117,9 @@
 
 
 def test_over_the_limit_is_told_when_to_return():
-    part = limits.Limits(instance="a", live=lambda _: 1, tell=lambda _: None)
+    part = limits.Limits(
+        instance="a", live_count=lambda _: 1, publish=lambda _: None
+    )
     spec = {"rate": 2.0, "burst": 1.0}
     answers = [part.check("gaucho", spec, 0.0) for _ in range(5)]
     assert answers[:4] == [None] * 4
@@ -128,7 +130,9 @@
 
 
 def test_state_of_idle_teams_goes():
-    part = limits.Limits(instance="a", live=lambda _: 9, tell=lambda _: None)
+    part = limits.Limits(
+        instance="a", live_count=lambda _: 9, publish=lambda _: None
+    )
     for number in range(35_000):
         part.check(f"team-{number}", {"rate": 10.0}, 0.0)
     assert part.active == 35_000
@@ -139,7 +143,9 @@
 
 def test_what_is_told_is_bounded():
     told = []
-    part = limits.Limits(instance="a", live=lambda _: 9, tell=told.append)
+    part = limits.Limits(
+        instance="a", live_count=lambda _: 9, publish=told.append
+    )
     for number in range(500):
         for _ in range(number % 50 + 1):
             part.check(f"team-{number}", {"rate": 5.0}, 0.0)
@@ -156,7 +162,9 @@
     grow with the number of instances until it takes the links.
     """
     told = []
-    part = limits.Limits(instance="a", live=lambda _: live, tell=told.append)
+    part = limits.Limits(
+        instance="a", live_count=lambda _: live, publish=told.append
+    )
     seconds = 600
     for now in range(1, seconds + 1):
         for number in range(40):
--- a/sycamoreshed/entry/callers.py
+++ b/sycamoreshed/entry/callers.py
@@ -190,7 +190,7 @@
 
     async def _admitted(self, http, ask, start):
         request = ask.request
-        ticket = await self._admission.enter(request, self._core.clock())
+        ticket = await self._admission.acquire(request, self._core.clock())
         if isinstance(ticket, kinds.Failure):
             if request.key is not None:
                 ticket = self._once.reject_unread(request, ticket)
@@ -205,7 +205,7 @@
                 self._count(request, GONE, start)
             raise
         finally:
-            self._admission.leave(ticket, self._core.clock())
+            self._admission.release(ticket, self._core.clock())
 
     async def _whole(self, request, start):
         result = await self._run_to_end(request)
--- a/sycamoreshed/entry/tests/test_callers.py
+++ b/sycamoreshed/entry/tests/test_callers.py
@@ -73,7 +73,7 @@
         metrics=metrics.Metrics(),
     )
     core._parts["admission"] = admission.Admission(
-        settings=core.settings, instances=lambda now: 1, clock=core.clock
+        settings=core.settings, live_count=lambda now: 1, clock=core.clock
     )
     core.guard(guard.guarded)
     entry = callers.Callers(core=core)
--- a/sycamoreshed/pipeline/deadlines.py
+++ b/sycamoreshed/pipeline/deadlines.py
@@ -81,7 +81,7 @@
         ]
         if None in later:
             return fair
-        need = sum(times.high(now) for times in later)
+        need = sum(times.upper_bound(now) for times in later)
         return max(fair, deadline - now - need)
 
     def hopeless(self, pipeline, stages, index, deadline, now):
@@ -95,5 +95,5 @@
         need = 0.0
         for stage in stages[index:]:
             times = self._times.get((pipeline, stage["name"]))
-            need += times.low(now) if times else 0.0
+            need += times.lower_bound(now) if times else 0.0
         return now + need > deadline
--- a/sycamoreshed/pipeline/hedges.py
+++ b/sycamoreshed/pipeline/hedges.py
@@ -57,7 +57,7 @@
         return first
 
     def _expire(self):
-        if self._budget.spend():
+        if self._budget.try_spend():
             self.moved = True
             self._timer.reschedule(self._loop.time())
 
--- a/sycamoreshed/pipeline/streamed.py
+++ b/sycamoreshed/pipeline/streamed.py
@@ -60,7 +60,7 @@
             A failure's ``sent`` is true if any of the attempts may have
             reached an engine.
         """
-        self._budget.earn()
+        self._budget.record_first_attempt()
         prefix = prefix_of(payload)
         tokens = []
         tried = set()
@@ -91,7 +91,7 @@
             )
             patience = None
             if len(tried) == 1:
-                patience = self._router.loads.patience(endpoint, now)
+                patience = self._router.loads.hedge_delay_s(endpoint, now)
             result = await self._attempt(
                 endpoint, call, until, tokens, emit, patience
             )
@@ -103,13 +103,13 @@
                 self._metrics.retries.labels(stage["name"], "moved").inc()
                 continue
             fruitless = 1 if len(tokens) > had else fruitless + 1
-            if fruitless >= MOST_FRUITLESS or not self._budget.spend():
+            if fruitless >= MOST_FRUITLESS or not self._budget.try_spend():
                 return result._replace(sent=sent)
             self._metrics.retries.labels(stage["name"], result.kind).inc()
 
     async def _attempt(self, endpoint, call, until, tokens, emit, patience):
         began = self._clock()
-        self._router.loads.begin(endpoint)
+        self._router.loads.record_start(endpoint)
         # Stands for what is known if the attempt is cancelled from outside.
         result = kinds.Failure(kinds.Kind.INTERNAL, "cancelled", sent=True)
         try:
@@ -132,7 +132,9 @@
                 result = hedges.MOVED
         finally:
             first.met()
-            self._router.finished(endpoint, call, result, began, self._clock())
+            self._router.record_result(
+                endpoint, call, result, began, self._clock()
+            )
             if isinstance(result, kinds.Failure) and result.sent:
                 await adapters.cancel_quietly(self._client, endpoint, call)
         if result is hedges.MOVED:
@@ -154,7 +156,7 @@
                 if isinstance(chunk, kinds.Failure):
                     return chunk
                 if first.met():
-                    self._router.loads.observe_first(
+                    self._router.loads.observe_first_output(
                         endpoint, first.waited, self._clock()
                     )
                 fault = await self._take(chunk, tokens, emit)
--- a/sycamoreshed/pipeline/tests/test_hedges.py
+++ b/sycamoreshed/pipeline/tests/test_hedges.py
@@ -104,7 +104,7 @@
     stage = request.spec["stages"][0]
     endpoint = parts["router"].choose(request, stage, 0.0)
     for _ in range(10):
-        loads.observe_first(endpoint, 0.001, 0.0)
+        loads.observe_first_output(endpoint, 0.001, 0.0)
     result = await unary.UnaryStage(**parts).run(
         request,
         stage,
--- a/sycamoreshed/pipeline/tests/test_unary.py
+++ b/sycamoreshed/pipeline/tests/test_unary.py
@@ -94,7 +94,7 @@
 
 async def test_empty_budget_stops_retries():
     parts = fakes.stage_parts(BROKEN, GOOD)
-    while parts["budget"].spend():
+    while parts["budget"].try_spend():
         pass
     assert (await run(parts)).kind == BROKEN.kind
     assert len(parts["client"].calls) == 1
--- a/sycamoreshed/pipeline/unary.py
+++ b/sycamoreshed/pipeline/unary.py
@@ -43,7 +43,7 @@
         -------
         StageAnswer or Failure
         """
-        self._budget.earn()
+        self._budget.record_first_attempt()
         tried = set()
         sent = False
         for attempt in range(MOST_ATTEMPTS):
@@ -76,7 +76,7 @@
     def _patience(self, endpoint, now, repeatable):
         if not repeatable:
             return None
-        return self._router.loads.patience(endpoint, now)
+        return self._router.loads.hedge_delay_s(endpoint, now)
 
     def _other(self, request, stage, payload, until, tried):
         """Return a second attempt beside a slow one, or None."""
@@ -86,7 +86,7 @@
         endpoint = self._router.choose(request, stage, now, avoid=tried)
         if endpoint is None or endpoint.name in tried:
             return None
-        self._budget.spend()
+        self._budget.try_spend()
         tried.add(endpoint.name)
         self._metrics.retries.labels(stage["name"], "hedge").inc()
         return self._call(request, stage, payload, until, endpoint)
@@ -97,7 +97,7 @@
         if isinstance(result, adapters.StageAnswer):
             self._metrics.count_crossing(request, stage, endpoint, result)
             now = self._clock()
-            self._router.loads.observe_first(endpoint, now - began, now)
+            self._router.loads.observe_first_output(endpoint, now - began, now)
         return result
 
     async def attempt(self, request, stage, payload, until, endpoint):
@@ -113,7 +113,7 @@
             priority=request.priority,
             adapter=stage.get("adapter"),
         )
-        self._router.loads.begin(endpoint)
+        self._router.loads.record_start(endpoint)
         result = None
         try:
             result = await self._client.call(
@@ -126,7 +126,7 @@
             raise
         finally:
             ended = self._clock()
-            self._router.finished(endpoint, call, result, now, ended)
+            self._router.record_result(endpoint, call, result, now, ended)
         evidence.report(
             self._membership,
             endpoint,
@@ -145,7 +145,7 @@
         left = until - self._clock() - LEAST_TIME_S
         if left <= 0:
             return False
-        if not self._budget.spend():
+        if not self._budget.try_spend():
             return False
         self._metrics.retries.labels(stage["name"], failure.kind).inc()
         pause = random.uniform(0, BACKOFF_S * 2**attempt)
--- a/sycamoreshed/routing/estimates.py
+++ b/sycamoreshed/routing/estimates.py
@@ -55,13 +55,13 @@
             return self._mean
         return self._mean * self.weight(now)
 
-    def low(self, now):
+    def lower_bound(self, now):
         """Return what few durations are under, or zero."""
         if self._mean is None:
             return 0.0
         return max(0.0, self._mean - self._deviation) * self.weight(now)
 
-    def high(self, now):
+    def upper_bound(self, now):
         """Return what few durations are over, or zero."""
         if self._mean is None:
             return 0.0
--- a/sycamoreshed/routing/loads.py
+++ b/sycamoreshed/routing/loads.py
@@ -53,11 +53,11 @@
         self._firsts = {}
         self._sizes = {}
 
-    def begin(self, endpoint):
+    def record_start(self, endpoint):
         """Count a call of our own."""
         self._in_flight[endpoint.name] += 1
 
-    def end(self, endpoint):
+    def record_end(self, endpoint):
         """Count a call of our own as over."""
         self._in_flight[endpoint.name] -= 1
         if not self._in_flight[endpoint.name]:
@@ -76,7 +76,7 @@
             False if it was given up: then it would have taken longer, so
             it counts only if it was slow already.
         """
-        crowd = max(1.0, self.estimate(endpoint, now))
+        crowd = max(1.0, self.utilization(endpoint, now))
         alone = seconds / crowd
         name = endpoint.name
         if not whole and alone < (self._mean_of(endpoint, now) or 0.0):
@@ -90,14 +90,14 @@
                 self._services[service] = estimates.Estimate()
             self._services[service].add(alone, now)
 
-    def observe_first(self, endpoint, seconds, now):
+    def observe_first_output(self, endpoint, seconds, now):
         """Take in how long the first byte of an answer took."""
         firsts = self._firsts.get(endpoint.service)
         if firsts is None:
             firsts = self._firsts[endpoint.service] = estimates.Estimate()
         firsts.add(seconds, now)
 
-    def patience(self, endpoint, now):
+    def hedge_delay_s(self, endpoint, now):
         """Return seconds after which no answer yet is unusual, or None."""
         firsts = self._firsts.get(endpoint.service)
         if firsts is None or not self._hedging:
@@ -115,7 +115,7 @@
         """Return the bytes expected of a stage's call."""
         return self._sizes.get(stage, 0.0)
 
-    def estimate(self, endpoint, now):
+    def utilization(self, endpoint, now):
         """Return calls in flight as a share of the endpoint's slots.
 
         Notes
@@ -142,7 +142,7 @@
         alone = self._mean_of(endpoint, now)
         if alone is None:
             alone = FIRST_SECONDS
-        load = self.estimate(endpoint, now) + 1.0 / endpoint.slots
+        load = self.utilization(endpoint, now) + 1.0 / endpoint.slots
         return alone * (1.0 + FULL_BATCH * load + max(0.0, load - 1.0))
 
     def adapters(self, endpoint):
--- a/sycamoreshed/routing/policies.py
+++ b/sycamoreshed/routing/policies.py
@@ -7,7 +7,7 @@
 from sycamoreshed.routing import affinity
 from sycamoreshed.routing import tariffs
 
-__all__ = ["POLICIES", "Situation"]
+__all__ = ["POLICIES", "RoutingContext"]
 
 POLICIES = registry.Registry(kind="routing policy")
 NEAR_SAMPLE = 2
@@ -24,7 +24,7 @@
 LEAST_BUDGET_S = 0.001
 
 
-class Situation(typing.NamedTuple):
+class RoutingContext(typing.NamedTuple):
     """What a policy may look at.
 
     Parameters
@@ -61,33 +61,33 @@
 
 
 @POLICIES.register("random")
-def at_random(candidates, situation, now):
+def at_random(candidates, context, now):
     """Pick any; a baseline."""
     return random.choice(candidates)
 
 
 @POLICIES.register("round_robin")
-def round_robin(candidates, situation, now):
+def round_robin(candidates, context, now):
     """Take turns; a baseline."""
-    return candidates[situation.turn % len(candidates)]
+    return candidates[context.turn % len(candidates)]
 
 
 @POLICIES.register("least_loaded")
-def least_loaded(candidates, situation, now):
+def least_loaded(candidates, context, now):
     """Pick the one with the fewest calls in flight; a baseline."""
     return min(
         candidates,
         key=lambda item: (
-            situation.loads.estimate(item, now),
-            item.zone != situation.zone,
-            item.region != situation.region,
+            context.loads.utilization(item, now),
+            item.zone != context.zone,
+            item.region != context.region,
             random.random(),
         ),
     )
 
 
 @POLICIES.register("balanced")
-def balanced(candidates, situation, now):
+def balanced(candidates, context, now):
     """Pick the cheapest of a few, by expected time and crossing.
 
     Notes
@@ -96,29 +96,29 @@
     the same endpoint until the next report; each looks at a random few
     and at the prefix's homes.
     """
-    gains, listed = _short_list(candidates, situation, now)
-    return min(listed, key=lambda item: _cost(item, situation, gains, now))
+    gains, listed = _short_list(candidates, context, now)
+    return min(listed, key=lambda item: _cost(item, context, gains, now))
 
 
-def _short_list(candidates, situation, now):
+def _short_list(candidates, context, now):
     """Return what a cached prefix gains where, and all to compare."""
     same, near, far = [], [], []
     for item in candidates:
-        if item.region != situation.region:
+        if item.region != context.region:
             far.append(item)
-        elif item.zone != situation.zone:
+        elif item.zone != context.zone:
             near.append(item)
         else:
             same.append(item)
     home, gains = [], {}
-    if situation.prefix is not None and situation.cached:
+    if context.prefix is not None and context.cached:
         scope = candidates
-        if (same or near) and _crossing_dear(same or near, situation, now):
+        if (same or near) and _crossing_dear(same or near, context, now):
             scope = same + near
-        key = f"{situation.adapter or ''}/{situation.prefix}"
+        key = f"{context.adapter or ''}/{context.prefix}"
         home = affinity.homes(scope, key)
         for item, part in zip(home, HOME_GAINS, strict=False):
-            gains[item.name] = part * situation.cached
+            gains[item.name] = part * context.cached
     listed = [
         *home,
         *_sample(same, NEAR_SAMPLE),
@@ -128,7 +128,7 @@
     return gains, listed
 
 
-def _crossing_dear(near, situation, now):
+def _crossing_dear(near, context, now):
     """Return whether a crossing costs more than a cached prefix gains.
 
     Notes
@@ -136,14 +136,14 @@
     Homes among all endpoints hold each prefix once, so that more of them
     fit the caches; homes within the region spare the crossing.
     """
-    seconds = situation.loads.seconds(near[0], now)
-    part = seconds / max(situation.budget_s, LEAST_BUDGET_S)
+    seconds = context.loads.seconds(near[0], now)
+    part = seconds / max(context.budget_s, LEAST_BUDGET_S)
     saved = part * part * (1.0 - (1.0 - CACHED_PART) ** 2)
-    return _crossing(situation) > situation.worth.attainment * saved
+    return _crossing(context) > context.worth.attainment * saved
 
 
-def _crossing(situation):
-    return situation.worth.crossing_mb * situation.crossing_bytes / 1e6
+def _crossing(context):
+    return context.worth.crossing_mb * context.crossing_bytes / 1e6
 
 
 def _sample(items, count):
@@ -152,7 +152,7 @@
     return [random.choice(items) for _ in range(count)]
 
 
-def _cost(endpoint, situation, gains, now):
+def _cost(endpoint, context, gains, now):
     """Return the cost units of sending there.
 
     Notes
@@ -161,17 +161,17 @@
     left that the call takes: while there is plenty, saving some of it is
     not worth a crossing.
     """
-    seconds = situation.loads.seconds(endpoint, now)
+    seconds = context.loads.seconds(endpoint, now)
     seconds *= 1.0 - gains.get(endpoint.name, 0.0)
-    if situation.adapter is not None:
-        warm = situation.loads.adapters(endpoint)
-        if warm is not None and situation.adapter not in warm:
+    if context.adapter is not None:
+        warm = context.loads.adapters(endpoint)
+        if warm is not None and context.adapter not in warm:
             seconds *= COLD_FACTOR
     cost = 0.0
-    if endpoint.region != situation.region:
+    if endpoint.region != context.region:
         seconds += REGION_S
-        cost = _crossing(situation)
-    elif endpoint.zone != situation.zone:
+        cost = _crossing(context)
+    elif endpoint.zone != context.zone:
         seconds += ZONE_S
-    part = seconds / max(situation.budget_s, LEAST_BUDGET_S)
-    return cost + situation.worth.attainment * part * part
+    part = seconds / max(context.budget_s, LEAST_BUDGET_S)
+    return cost + context.worth.attainment * part * part
--- a/sycamoreshed/routing/router.py
+++ b/sycamoreshed/routing/router.py
@@ -70,12 +70,12 @@
             usable = fresh or candidates
         choice = None
         if usable:
-            situation = self._situation(request, stage, now, prefix)
-            choice = self._policy(usable, situation, now)
+            context = self._context(request, stage, now, prefix)
+            choice = self._policy(usable, context, now)
         self._write(request, stage, usable, choice, now)
         return choice
 
-    def finished(self, endpoint, call, result, began, now):
+    def record_result(self, endpoint, call, result, started_at, now):
         """Take in how a call ended, for later choices.
 
         Parameters
@@ -84,23 +84,23 @@
         call : Call
         result : StageAnswer, Failure or None
             None if the call was given up.
-        began, now : float
+        started_at, now : float
             Monotonic seconds.
         """
-        self.loads.end(endpoint)
+        self.loads.record_end(endpoint)
         whole = isinstance(result, adapters.StageAnswer)
         refused = isinstance(result, kinds.Failure) and not result.sent
         if not refused:
-            self.loads.observe(endpoint, now - began, now, whole=whole)
+            self.loads.observe(endpoint, now - started_at, now, whole=whole)
         if whole:
             self.loads.observe_size(call.stage, result.size)
 
-    def _situation(self, request, stage, now, prefix):
+    def _context(self, request, stage, now, prefix):
         self._turn += 1
         hour = self._tariff.get("hour")
         if hour is None:
             hour = self._hour()
-        return policies.Situation(
+        return policies.RoutingContext(
             zone=self._settings.zone,
             region=self._settings.region,
             prefix=prefix,
--- a/sycamoreshed/routing/tests/test_policies.py
+++ b/sycamoreshed/routing/tests/test_policies.py
@@ -29,9 +29,9 @@
     )
 
 
-def situation(known, **changes):
+def context(known, **changes):
     fields = {"zone": "north-a", "region": "north", "prefix": None}
-    return policies.Situation(**{**fields, "loads": known, **changes})
+    return policies.RoutingContext(**{**fields, "loads": known, **changes})
 
 
 FLEET = [
@@ -50,7 +50,7 @@
 def test_only_candidates_are_chosen(name, kept, prefix, turn):
     """A leaver is no candidate, so it must never come back here."""
     candidates = [FLEET[index] for index in sorted(kept)]
-    here = situation(loads.Loads(), prefix=prefix, turn=turn)
+    here = context(loads.Loads(), prefix=prefix, turn=turn)
     choice = policies.POLICIES.get(name)(candidates, here, 1.0)
     assert choice in candidates
 
@@ -83,21 +83,21 @@
 def test_same_prefix_same_engine_until_it_is_loaded():
     """One prompt prefix becomes popular: its engine must not drown."""
     known = loads.Loads()
-    here = situation(known, prefix="dossier", budget_s=3.0)
+    here = context(known, prefix="dossier", budget_s=3.0)
     (first,) = chosen(here)
     for _ in range(first.slots * 3):
-        known.begin(first)
+        known.record_start(first)
     assert chosen(here)[first] == 0
 
 
 def test_zone_first_and_region_only_when_worth_it():
     known = loads.Loads()
     near = [item for item in FLEET if item.region == "north"]
-    dear = situation(known, worth=DEAR, crossing_bytes=20_000.0, budget_s=3.0)
+    dear = context(known, worth=DEAR, crossing_bytes=20_000.0, budget_s=3.0)
     assert {item.zone for item in chosen(dear)} == {"north-a"}
     for item in near:
         for _ in range(item.slots * 2):
-            known.begin(item)
+            known.record_start(item)
     assert {item.region for item in chosen(dear)} == {"north"}
     cheap = dear._replace(worth=FREE)
     assert {item.region for item in chosen(cheap)} == {"south"}
@@ -109,7 +109,7 @@
     for item in rest:
         known.observe(item, 0.1, 0.0, whole=True)
     known.observe(slow, 1.0, 0.0, whole=True)
-    here = situation(known, budget_s=3.0)
+    here = context(known, budget_s=3.0)
     candidates = [slow, *rest]
     assert chosen(here, candidates)[slow] == 0
     ages = [known.seconds(slow, now) for now in (1.0, 6.0, 12.0, 60.0)]
@@ -124,7 +124,7 @@
         for index, item in enumerate(FLEET)
     }
     known = loads.Loads(reports=lambda: reports)
-    here = situation(known, adapter="festival", budget_s=3.0)
+    here = context(known, adapter="festival", budget_s=3.0)
     assert set(chosen(here, FLEET[:2])) == {FLEET[1]}
 
 
@@ -132,19 +132,19 @@
     reports = {}
     known = loads.Loads(reports=lambda: reports)
     busy, idle = FLEET[:2]
-    known.begin(busy)
+    known.record_start(busy)
     reports[busy.name] = ({"running": 8, "waiting": 1}, 10.0)
     reports[idle.name] = ({"running": 0}, 10.0)
-    assert known.estimate(busy, 10.0) == 9 / 4
-    known.begin(busy)
-    assert known.estimate(busy, 10.0) == 10 / 4
-    assert known.estimate(idle, 10.0) == 0
+    assert known.utilization(busy, 10.0) == 9 / 4
+    known.record_start(busy)
+    assert known.utilization(busy, 10.0) == 10 / 4
+    assert known.utilization(idle, 10.0) == 0
     # Calls take the time expected before any was measured.
     later = 10.0 + 20 * loads.FIRST_SECONDS
-    apart = known.estimate(busy, later) - known.estimate(idle, later)
+    apart = known.utilization(busy, later) - known.utilization(idle, later)
     assert apart == pytest.approx(2 / 4, abs=0.01)
-    assert known.estimate(idle, later) > 0
-    assert known.estimate(busy, 30.0) == 2 / 4
+    assert known.utilization(idle, later) > 0
+    assert known.utilization(busy, 30.0) == 2 / 4
 
 
 @settings(derandomize=True, deadline=None)
@@ -156,20 +156,20 @@
     reports = {item.name: ({"running": running}, 0.0) for item in FLEET}
     known = loads.Loads(reports=lambda: reports)
     for index in calls:
-        known.begin(FLEET[index])
+        known.record_start(FLEET[index])
         own = calls[: calls.index(index) + 1].count(index)
-        assert known.estimate(FLEET[index], 0.5) >= own / 4
+        assert known.utilization(FLEET[index], 0.5) >= own / 4
 
 
 def test_home_only_as_far_as_prefixes_return():
     """Prompts that share nothing must not be spread by their hash."""
     known = loads.Loads()
     equal = [endpoint(number) for number in range(2)]
-    here = situation(known, prefix="dossier", budget_s=3.0)
+    here = context(known, prefix="dossier", budget_s=3.0)
     home, *_ = affinity.homes(equal, "/dossier")
     assert set(chosen(here, equal)) == {home}
     unknown = here._replace(cached=0.0)
-    known.begin(home)
+    known.record_start(home)
     assert chosen(unknown, equal)[home] == 0
 
 
@@ -182,7 +182,7 @@
         for number in range(100)
         if affinity.homes(FLEET, f"/{number}")[0].region == "south"
     )
-    cheap = situation(known, prefix=key, budget_s=2.0, worth=FREE)
+    cheap = context(known, prefix=key, budget_s=2.0, worth=FREE)
     assert {item.region for item in chosen(cheap)} == {"south"}
     dear = cheap._replace(worth=DEAR, crossing_bytes=2000.0)
     near = [item for item in FLEET if item.region == "north"]
--- a/testkit/fakes.py
+++ b/testkit/fakes.py
@@ -89,9 +89,9 @@
         )
         self.loads = loads.Loads()
 
-    def finished(self, endpoint, call, result, began, now):
+    def record_result(self, endpoint, call, result, started_at, now):
         """Take in how a call ended."""
-        self.loads.end(endpoint)
+        self.loads.record_end(endpoint)
 
     def choose(self, _request, _stage, _now, *, avoid=(), prefix=None):
         """Choose an endpoint for a stage."""
