--- a/sycamoreshed/errors/__init__.py
+++ b/sycamoreshed/errors/__init__.py
@@ -1,1 +1,1 @@
-"""Error kinds and the answers they become."""
+"""Error kinds and the HTTP answers for them."""
--- a/sycamoreshed/errors/kinds.py
+++ b/sycamoreshed/errors/kinds.py
@@ -1,7 +1,7 @@
-"""The closed list of error kinds and the answer each becomes.
+"""The closed list of error kinds and the HTTP answer for each.
 
-Failures inside are values of `Failure`: a kind and a reason.  Only this
-module knows what a caller is told for a kind.
+Internal failures are values of `Failure`: a kind and a reason.  Only this
+module maps a kind to the answer that callers receive.
 """
 
 import enum
@@ -22,7 +22,7 @@
 
 
 class Kind(enum.StrEnum):
-    """All error kinds there are."""
+    """All error kinds."""
 
     BAD_REQUEST = "bad-request"
     TOO_LARGE = "too-large"
@@ -65,12 +65,12 @@
     ----------
     kind : Kind
     reason : str
-        For people; never parsed.
+        Human-readable; never parsed.
     sent : bool
-        Whether anything may have left for an endpoint.  False is a
-        promise: the work truly did not start.
+        Whether anything may have been sent to an endpoint.  False
+        guarantees that the work did not start.
     retry_after : float or None
-        Seconds after which trying again makes sense.
+        Seconds after which a retry makes sense.
     earlier_may_have_run : bool
         Whether an earlier request with the same idempotency key may have
         run.
@@ -84,7 +84,7 @@
 
 
 class Answer(typing.NamedTuple):
-    """How a kind is told to a caller.
+    """HTTP answer for an error kind.
 
     Parameters
     ----------
@@ -93,9 +93,9 @@
     title : str
         Title of the problem details (RFC 9457).
     outcome : Outcome
-        What the caller may conclude when nothing was sent.
+        What the caller may conclude if nothing was sent.
     retry_after : float or None
-        Seconds for ``Retry-After`` when the failure names none.
+        Seconds for ``Retry-After`` if the failure sets none.
     """
 
     status: int
@@ -104,8 +104,13 @@
     retry_after: float | None = None
 
 
-_RAN = {Outcome.NOT_RUN: Outcome.FAILED, Outcome.SHED: Outcome.FAILED}
-_PROMISES = frozenset(_RAN)
+# Outcomes that guarantee that nothing ran, and their replacement once
+# something was sent.
+_OUTCOME_IF_SENT = {
+    Outcome.NOT_RUN: Outcome.FAILED,
+    Outcome.SHED: Outcome.FAILED,
+}
+_NOT_RUN_OUTCOMES = frozenset(_OUTCOME_IF_SENT)
 
 ANSWERS = {
     Kind.BAD_REQUEST: Answer(400, "Bad request", Outcome.NOT_RUN),
@@ -123,8 +128,8 @@
     Kind.KEY_CONFLICT: Answer(
         422, "Idempotency-Key used with another body", Outcome.NOT_RUN
     ),
-    # Its request may be on its way to its record, so "not run" would be
-    # a promise nobody can keep.
+    # A request with the key may not have written its record yet, so "not
+    # run" could turn out to be false.
     Kind.KEY_UNKNOWN: Answer(404, "Unknown key", Outcome.OUTCOME_UNKNOWN),
     Kind.KEY_EXPIRED: Answer(410, "Key expired", Outcome.OUTCOME_UNKNOWN),
     Kind.IN_PROGRESS: Answer(
@@ -156,7 +161,7 @@
 
 
 def answer_for(failure):
-    """Return the answer of a failure, with its true outcome.
+    """Return the answer for a failure, with the outcome that holds for it.
 
     Parameters
     ----------
@@ -168,9 +173,10 @@
 
     Notes
     -----
-    "Not run" is told only when nothing was sent: a kind whose table
-    entry says not-run or shed is told as failed once something was, and
-    as outcome-unknown while an earlier request with the key is in doubt.
+    "Not run" is reported only if nothing was sent.  A kind whose table
+    entry says not-run or shed is reported as failed once something was
+    sent, and as outcome-unknown if an earlier request with the key may
+    have run.
 
     Examples
     --------
@@ -184,10 +190,10 @@
     <Outcome.OUTCOME_UNKNOWN: 'outcome-unknown'>
     """
     answer = ANSWERS[failure.kind]
-    if failure.earlier_may_have_run and answer.outcome in _PROMISES:
+    if failure.earlier_may_have_run and answer.outcome in _NOT_RUN_OUTCOMES:
         answer = answer._replace(outcome=Outcome.OUTCOME_UNKNOWN)
-    if failure.sent and answer.outcome in _RAN:
-        answer = answer._replace(outcome=_RAN[answer.outcome])
+    if failure.sent and answer.outcome in _OUTCOME_IF_SENT:
+        answer = answer._replace(outcome=_OUTCOME_IF_SENT[answer.outcome])
     if failure.retry_after is not None:
         answer = answer._replace(retry_after=failure.retry_after)
     return answer
--- a/sycamoreshed/errors/tests/test_kinds.py
+++ b/sycamoreshed/errors/tests/test_kinds.py
@@ -1,13 +1,13 @@
-"""The table from kinds to answers."""
+"""Tests of the table that maps error kinds to answers."""
 
 import pytest
 
 from sycamoreshed.errors import kinds
 
-BEGUN = {kinds.Outcome.NOT_RUN, kinds.Outcome.SHED}
+NOT_RUN_OUTCOMES = {kinds.Outcome.NOT_RUN, kinds.Outcome.SHED}
 
 
-def test_table_as_a_whole(snapshot):
+def test_table_matches_snapshot(snapshot):
     assert {
         str(kind): {
             "status": answer.status,
@@ -19,18 +19,18 @@
     } == snapshot
 
 
-def test_every_kind_has_one_answer_in_the_order_of_the_list():
+def test_answers_cover_all_kinds_in_order():
     assert list(kinds.ANSWERS) == list(kinds.Kind)
 
 
 @pytest.mark.parametrize("kind", kinds.Kind)
 def test_answer_is_consistent(kind):
-    """A caller that was told "not run" must be able to rely on it."""
+    """A failure after a send must not be reported to callers as "not run"."""
     answer = kinds.ANSWERS[kind]
     assert 400 <= answer.status < 600
     assert answer.outcome != kinds.Outcome.COMPLETE
     sent = kinds.answer_for(kinds.Failure(kind, "", sent=True))
-    assert sent.outcome not in BEGUN
+    assert sent.outcome not in NOT_RUN_OUTCOMES
     unsent = kinds.answer_for(kinds.Failure(kind, "", sent=False))
     assert unsent == answer
     named = kinds.answer_for(kinds.Failure(kind, "", retry_after=7.0))
--- a/sycamoreshed/idempotency/__init__.py
+++ b/sycamoreshed/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""At-most-once execution of what may not be repeated."""
+"""At-most-once execution of non-repeatable pipeline stages."""
--- a/sycamoreshed/idempotency/breaker.py
+++ b/sycamoreshed/idempotency/breaker.py
@@ -1,26 +1,27 @@
-"""Tells when the store is to be taken to be away."""
+"""Circuit breaker for calls of the store."""
 
 __all__ = ["Breaker"]
 
-FAILURES = 3
+FAILURE_THRESHOLD = 3
 
 
 class Breaker:
-    """Opens after failures in a row, and closes with the first success.
+    """Opens after consecutive failures, and closes with the first success.
 
     Parameters
     ----------
-    failures : int
-        Failures in a row that open it.
+    failure_threshold : int
+        Consecutive failures that open it.
 
     Notes
     -----
-    Without it each request of an outage would wait for a timeout before
-    it hears "not run", and hold a slot that reads and generation need.
+    Without it each request during an outage would wait for a timeout
+    before it fails as "not run", and would hold a slot that reads and
+    generation need.
 
     Examples
     --------
-    >>> breaker = Breaker(failures=2)
+    >>> breaker = Breaker(failure_threshold=2)
     >>> for ok in (False, True, False, False):
     ...     breaker.report(ok=ok)
     >>> breaker.is_open
@@ -30,20 +31,22 @@
     False
     """
 
-    def __init__(self, *, failures=FAILURES):
-        self._most = failures
-        self._failures = 0
+    def __init__(self, *, failure_threshold=FAILURE_THRESHOLD):
+        self._failure_threshold = failure_threshold
+        self._consecutive_failures = 0
 
     @property
-    def failures(self):
-        """Failures in a row that open it."""
-        return self._most
+    def failure_threshold(self):
+        """Consecutive failures that open it."""
+        return self._failure_threshold
 
     @property
     def is_open(self):
-        """Whether calls are to be refused."""
-        return self._failures >= self._most
+        """Whether calls are to be rejected."""
+        return self._consecutive_failures >= self._failure_threshold
 
     def report(self, *, ok):
-        """Take in the end of a call."""
-        self._failures = 0 if ok else self._failures + 1
+        """Count the success or failure of a call."""
+        self._consecutive_failures = (
+            0 if ok else self._consecutive_failures + 1
+        )
--- a/sycamoreshed/idempotency/decide.py
+++ b/sycamoreshed/idempotency/decide.py
@@ -1,8 +1,9 @@
-"""Decisions about a request that may not be repeated.
+"""Decisions of the protocol that runs a non-repeatable request at most once.
 
-Plain functions of what is known, so that the daemon and the exhaustive
-exploration in the tests drive the same ones.  An attempt is one admitted
-request; its id is the request's.
+Pure functions, so that the daemon and the exhaustive exploration in the
+tests run the same code.  An attempt is one admitted request; its id is the
+request id.  It claims its idempotency key by a conditional write of a
+record with state ``begun``, and sends the call only once it holds the claim.
 """
 
 import enum
@@ -12,30 +13,30 @@
 from sycamoreshed.errors import kinds
 
 __all__ = [
-    "End",
     "Record",
+    "RunEnd",
     "State",
     "Step",
     "after_finish",
     "after_read",
     "after_run",
     "after_write",
-    "completed",
+    "can_wait_for_store",
     "fence_version",
-    "found",
-    "gives_up",
-    "waits_out",
+    "find_ran_answer",
+    "is_claim_abandoned",
+    "row_after_completion",
 ]
 
-# Less than this before the deadline no call could end in time.
-MARGIN_S = 0.02
+# A call sent later than this before the deadline could not end in time.
+DEADLINE_MARGIN_S = 0.02
 
 
 class State(enum.StrEnum):
     """States of a record.
 
-    ``begun`` never lapses: nobody but the attempt that wrote it can know
-    that nothing was sent.
+    ``begun`` never expires: only the attempt that wrote it can tell that
+    nothing was sent.
     """
 
     BEGUN = "begun"
@@ -47,11 +48,11 @@
     """The value of a record's row.
 
     ``attempt`` is the id of the request that wrote it, ``body`` the
-    digest of what it asks for, ``at`` wall-clock seconds, for sweeping
-    only.  ``stages`` names the stages of a whole answer if the one that
-    may not be repeated is the last, so that any instance can write the
+    digest of its pipeline and input, ``at`` wall-clock seconds, used only
+    for sweeping.  ``stages`` names the stages of a complete answer if the
+    non-repeatable stage is the last, so that any instance can build the
     answer from that stage's output.  ``answer`` and ``status`` are what
-    the caller was given.
+    was sent to the caller.
     """
 
     state: str
@@ -67,7 +68,7 @@
 
 
 class Step(enum.Enum):
-    """What to do next while claiming."""
+    """Next step after a read or write of a record."""
 
     SEND = "send"
     READ_BACK = "read back"
@@ -79,8 +80,8 @@
     CONFLICT = "conflict"
 
 
-class End(enum.Enum):
-    """What to record, and to tell, at the end of a run."""
+class RunEnd(enum.Enum):
+    """How to settle the record, and what to report, at the end of a run."""
 
     FINISH = "finish"
     RELEASE = "release"
@@ -88,13 +89,13 @@
 
 
 def after_write(result, attempt, body):
-    """Decide after the conditional write of a record.
+    """Decide the next step after the conditional write of a claim.
 
     Parameters
     ----------
     result : Written, Conflict or Failure
     attempt, body : str
-        This attempt, and the digest of what it asks for.
+        Id of this attempt, and the digest of its pipeline and input.
 
     Returns
     -------
@@ -108,7 +109,7 @@
 
 
 def after_read(row, attempt, body):
-    """Decide after reading a record.
+    """Decide the next step after reading a record.
 
     Parameters
     ----------
@@ -121,19 +122,19 @@
 
     Notes
     -----
-    Writing the same attempt again is safe while it has sent nothing:
-    all its writes say the same, and at most one of two that ask for the
-    same version takes effect.
+    Writing the claim of the same attempt again is safe while it has sent
+    nothing: all its writes have the same content, and at most one of two
+    that are conditional on the same version takes effect.
     """
     if isinstance(row, kinds.Failure):
         return Step.TRY_AGAIN
     if row.value is None:
         return Step.CLAIM_AGAIN
     record = row.value
-    own = record["attempt"] == attempt
-    if own and record["state"] == State.BEGUN:
+    is_own = record["attempt"] == attempt
+    if is_own and record["state"] == State.BEGUN:
         return Step.SEND
-    if own and record["state"] == State.NOT_RUN:
+    if is_own and record["state"] == State.NOT_RUN:
         return Step.REFUSE
     if record["body"] != body:
         return Step.CONFLICT
@@ -144,118 +145,120 @@
     return Step.WAIT
 
 
-def gives_up(now, deadline, store_away):
-    """Return whether an attempt that holds no record yet ends.
+def is_claim_abandoned(now, deadline, is_store_unavailable):
+    """Return whether an attempt without a claim stops trying to get one.
 
     Parameters
     ----------
     now, deadline : float
         Monotonic seconds.
-    store_away : bool
-        Whether the breaker before the store is open.
+    is_store_unavailable : bool
+        Whether the circuit breaker of the store is open.
     """
-    return store_away or now + MARGIN_S >= deadline
+    return is_store_unavailable or now + DEADLINE_MARGIN_S >= deadline
 
 
-def waits_out(now, away_since, patience_s, *, is_lost):
-    """Return whether an attempt waits for a store that is away.
+def can_wait_for_store(now, unavailable_since, max_wait_s, *, may_be_written):
+    """Return whether an attempt goes on waiting for an unavailable store.
 
     Parameters
     ----------
-    now, away_since : float
+    now, unavailable_since : float
         Monotonic seconds.
-    patience_s : float
-        Seconds after which a refused caller would be told to come again.
-    is_lost : bool
-        Whether the answer to a write of the attempt was lost, which may
-        have taken effect.
+    max_wait_s : float
+        Seconds after which a rejected caller would be told to retry.
+    may_be_written : bool
+        Whether the answer to a write of the attempt was lost; the write
+        may have taken effect.
 
     Notes
     -----
-    Refused, the caller would come again with a key whose record may be
-    there already.  An attempt that has written nothing is refused at once.
+    A rejected caller would retry with a key whose record may already
+    exist.  An attempt that has written nothing is rejected at once.
 
     Examples
     --------
-    >>> waits_out(1.5, 1.0, 2.0, is_lost=True)
+    >>> can_wait_for_store(1.5, 1.0, 2.0, may_be_written=True)
     True
-    >>> waits_out(3.5, 1.0, 2.0, is_lost=True)
+    >>> can_wait_for_store(3.5, 1.0, 2.0, may_be_written=True)
     False
-    >>> waits_out(1.5, 1.0, 2.0, is_lost=False)
+    >>> can_wait_for_store(1.5, 1.0, 2.0, may_be_written=False)
     False
     """
-    return is_lost and now < away_since + patience_s
+    return may_be_written and now < unavailable_since + max_wait_s
 
 
 def fence_version(row, attempt):
-    """Return at which version an ended attempt fences itself off.
+    """Return the row version over which an ended attempt writes its fence.
 
     Parameters
     ----------
     row : Row
     attempt : str
-        Ended before it sent anything, while one of its writes may still
-        be on its way.
+        Id of an attempt that ended before it sent anything, while one of
+        its writes may still be in flight.
 
     Returns
     -------
     int or None
         Version of the row over which ``not-run`` is to be written, or
-        None if there is nothing to do any more.
+        None if no fence is needed.
 
     Notes
     -----
-    Its late write would otherwise leave a record that says ``begun`` for
-    ever: whoever comes with the key hears "outcome unknown" although
-    nothing ran.  Once the row has another version, the late write cannot
-    take effect.  A record another attempt has begun or done has such a
-    version already, and is not touched.
+    Without the fence, the delayed write could leave a record that stays
+    ``begun`` for ever, and every retry with the key would receive
+    "outcome unknown" although nothing ran.  Once the row has another
+    version, the delayed write cannot take effect.  A record that another
+    attempt has begun or done already has such a version, and is left
+    unchanged.
     """
     if row.value is None:
         return row.version
-    own = row.value["attempt"] == attempt
+    is_own = row.value["attempt"] == attempt
     if row.value["state"] == State.NOT_RUN:
-        return None if own else row.version
-    if own and row.value["state"] == State.BEGUN:
+        return None if is_own else row.version
+    if is_own and row.value["state"] == State.BEGUN:
         return row.version
     return None
 
 
-def after_run(failure, ran):
-    """Decide what to record at the end of a run.
+def after_run(failure, has_output):
+    """Decide how to settle the record at the end of a run.
 
     Parameters
     ----------
     failure : Failure or None
-        None when the answer is whole.
-    ran : bool
-        Whether the answer of the stage that may not be repeated is here.
+        None if the run is complete.
+    has_output : bool
+        Whether the non-repeatable stage has returned its output.
 
     Returns
     -------
-    End
+    RunEnd
     """
-    if failure is None or ran:
-        return End.FINISH
-    return End.LEAVE if failure.sent else End.RELEASE
+    if failure is None or has_output:
+        return RunEnd.FINISH
+    return RunEnd.LEAVE if failure.sent else RunEnd.RELEASE
 
 
 def after_finish(result, attempt):
-    """Decide after the write of an answer.
+    """Decide the next step after the write that settles a record.
 
     Parameters
     ----------
     result : Written, Conflict or Failure
     attempt : str
-        The attempt whose answer it is.
+        Id of the attempt whose record is settled.
 
     Returns
     -------
     Step
-        ``SEND``: recorded, give the answer.  ``REPLAY``: another
-        instance recorded it, give what is recorded.  ``CLAIM_AGAIN``:
-        write again over the version found.  ``TRY_AGAIN``: not known.
-        ``REFUSE``: the record is not this attempt's any more.
+        ``SEND``: recorded, send the answer to the caller.  ``REPLAY``:
+        another instance recorded an answer, send that one.
+        ``CLAIM_AGAIN``: write again over the current version.
+        ``TRY_AGAIN``: the result of the write is unknown.  ``REFUSE``:
+        the record no longer belongs to this attempt.
     """
     if isinstance(result, tables.Written):
         return Step.SEND
@@ -271,30 +274,30 @@
     return Step.REFUSE
 
 
-def completed(result, write):
-    """Return the row after the answer of another's attempt was written.
+def row_after_completion(result, write):
+    """Return the row after the answer of another attempt was written.
 
     Parameters
     ----------
     result : Written, Conflict or Failure
     write : Write
-        Of the answer, made from what an endpoint told, over the row that
-        was read before the endpoint was asked.
+        Of an answer built from the output that an endpoint reported, over
+        the row version that was read before the endpoint was queried.
 
     Returns
     -------
     Row or None
-        None if it is not known whether the write took effect.
+        None if it is unknown whether the write took effect.
 
     Notes
     -----
-    An endpoint knows a call by its key, not by its attempt.  While it
-    was asked, the attempt that was read may have given the record back
-    unsent, and another may have taken it and run.  An answer in the name
-    of the first would be a second answer for one key, of a request that
-    was told "not run".  Versions only grow, so a write that took effect
-    proves that no other attempt has held the record since; any other end
-    of it proves nothing.
+    An endpoint identifies a call by its key, not by its attempt.  During
+    the query, the attempt in the row may have released its record unsent,
+    and another attempt may have claimed it and run.  An answer recorded
+    for the first attempt would then be a second answer for one key, and
+    for a request that was reported as "not run".  Versions only grow, so a
+    write that took effect proves that no other attempt has held the record
+    since; any other result of the write proves nothing.
     """
     if isinstance(result, tables.Written):
         return tables.Row(write.key, write.value, result.versions[0])
@@ -303,26 +306,27 @@
     return None
 
 
-def found(answers):
-    """Return what endpoints that were asked by key know of its call.
+def find_ran_answer(answers):
+    """Return the first answer to a look-up by key that reports ``ran``.
 
     Parameters
     ----------
     answers : iterable of dict or Failure
+        From the endpoints of the service.
 
     Returns
     -------
     dict or None
-        The first answer that says ``ran``; None means not known.
+        With the call's ``output``; None if the outcome is unknown.
 
     Notes
     -----
-    ``never`` does not mean "not run": the call may be on its way, or its
-    sender paused just before sending.  Taken for "not run", the call
-    would run after the caller was told that it had not.
+    ``never`` does not mean "not run": the call may be in flight, or its
+    sender may be paused just before sending.  If it were reported as "not
+    run", the call could still run after that.
     """
     for answer in answers:
-        # A failure, or JSON that is no object at all.
+        # A failure, or JSON that is not an object.
         if not isinstance(answer, dict):
             continue
         if answer.get("state") == "ran" and "output" in answer:
--- a/sycamoreshed/idempotency/groups.py
+++ b/sycamoreshed/idempotency/groups.py
@@ -1,4 +1,4 @@
-"""Several requests' writes of records in one transaction."""
+"""Group commit: record writes of several requests in one transaction."""
 
 import asyncio
 import typing
@@ -8,36 +8,36 @@
 from sycamoreshed.adapters import table as tables
 from sycamoreshed.errors import kinds
 
-__all__ = ["Groups", "split"]
+__all__ = ["WriteGroups", "split_result"]
 
 
-class _Waiting(typing.NamedTuple):
+class _QueuedWrite(typing.NamedTuple):
     write: tables.Write
     future: asyncio.Future
 
 
-def split(writes, result):
-    """Return what the result of a group means for each of its writes.
+def split_result(writes, result):
+    """Return the result of each write of a grouped transaction.
 
     Parameters
     ----------
     writes : list of Write
-        Each of another key.
+        No two with the same key.
     result : Written, Conflict or Failure
 
     Returns
     -------
     list of Written, Conflict, Failure or None
-        None where the write had no effect only because another of the
-        group was in conflict; it is to be sent again.
+        None where the write had no effect only because another write of
+        the group was in conflict; it is to be sent again.
 
     Examples
     --------
     >>> writes = [tables.Write("a", 1, 0), tables.Write("b", 1, 0)]
     >>> row = tables.Row("b", 2, 7)
-    >>> split(writes, tables.Conflict((row,)))
+    >>> split_result(writes, tables.Conflict((row,)))
     [None, Conflict(rows=(Row(key='b', value=2, version=7),))]
-    >>> split(writes, tables.Written((3, 4)))
+    >>> split_result(writes, tables.Written((3, 4)))
     [Written(versions=(3,)), Written(versions=(4,))]
     """
     if isinstance(result, tables.Written):
@@ -48,8 +48,8 @@
     return [stale.get(write.key) for write in writes]
 
 
-class Groups:
-    """Sends one transaction at a time; what comes meanwhile is the next.
+class WriteGroups:
+    """Sends one transaction at a time; writes queue up for the next one.
 
     Parameters
     ----------
@@ -57,38 +57,38 @@
         Takes writes, returns Written, Conflict or Failure.
     spawn : callable
         Runs a coroutine in the background.
-    most : int
-        Writes in one transaction; 1 for no grouping.
+    max_size : int
+        Largest number of writes in one transaction; 1 disables grouping.
 
     Notes
     -----
-    There is no waiting while the store is quick, and no group either: a
-    write that finds no transaction under way leaves at once.  A store
-    near its limit answers later, so groups grow by themselves.
+    Nothing is delayed to form groups: a write is sent at once if no
+    transaction is in progress.  A store near its limit answers more
+    slowly, so more writes queue up and groups grow.
     """
 
-    def __init__(self, *, write, spawn, most):
+    def __init__(self, *, write, spawn, max_size):
         self._write = write
         self._spawn = spawn
-        self._most = most
+        self._max_size = max_size
         self._queue = []
         self._running = False
 
     async def write(self, write):
         """Write one row; see `Table.write`."""
-        if self._most == 1:
+        if self._max_size == 1:
             return await self._write(write)
         future = asyncio.get_running_loop().create_future()
-        self._queue.append(_Waiting(write, future))
+        self._queue.append(_QueuedWrite(write, future))
         if not self._running:
             self._running = True
-            self._spawn(self._send_all(), name="write records")
+            self._spawn(self._send_queued(), name="write records")
         return await future
 
-    async def _send_all(self):
+    async def _send_queued(self):
         try:
             while self._queue:
-                await self._send(self._take())
+                await self._send(self._next_group())
         finally:
             self._running = False
 
@@ -97,28 +97,28 @@
         try:
             result = await self._write(*writes)
         except Exception as err:
-            # An answer nobody foresaw.  Without this all requests of the
-            # group would wait for ever, each holding a slot.
+            # An unexpected answer.  Without this handler, all requests of
+            # the group would wait for ever, each holding a slot.
             logger.opt(exception=err).error("write of records failed")
             result = kinds.Failure(kinds.Kind.STORE_AWAY, repr(err), sent=True)
-        results = split(writes, result)
-        again = []
+        results = split_result(writes, result)
+        to_resend = []
         for item, result in zip(group, results, strict=True):
             if result is None:
-                again.append(item)
+                to_resend.append(item)
             elif not item.future.done():
                 item.future.set_result(result)
-        self._queue[:0] = again
+        self._queue[:0] = to_resend
 
-    def _take(self):
-        group, rest, seen = [], [], set()
+    def _next_group(self):
+        group, remaining, seen = [], [], set()
         for item in self._queue:
-            # Two writes of one key in one transaction would be judged by
-            # the same version, and one of them lost.
-            if len(group) < self._most and item.write.key not in seen:
+            # Two writes of one key in one transaction would be checked
+            # against the same version, and one of them would be lost.
+            if len(group) < self._max_size and item.write.key not in seen:
                 seen.add(item.write.key)
                 group.append(item)
             else:
-                rest.append(item)
-        self._queue = rest
+                remaining.append(item)
+        self._queue = remaining
         return group
--- a/sycamoreshed/idempotency/keys.py
+++ b/sycamoreshed/idempotency/keys.py
@@ -1,4 +1,4 @@
-"""Names of requests that may not be repeated: keys and digests."""
+"""Idempotency keys: validation, derived keys, and digests of requests."""
 
 import re
 import typing
@@ -13,30 +13,30 @@
 
 __all__ = [
     "PREFIX",
-    "SLACK_S",
-    "Names",
+    "CLOCK_TOLERANCE_S",
+    "KeyNames",
+    "check_key",
     "digest",
     "digest_of",
     "endpoint_key",
-    "fault",
     "issued_at",
-    "names_of",
+    "key_names",
     "record_key",
 ]
 
 PREFIX = "once/"
-# How far callers' and instances' clocks may be apart, twice.
-SLACK_S = 600.0
-_VALID = re.compile(r"[\x21-\x7e]{1,200}")
+# Twice the tolerated difference between callers' and instances' clocks.
+CLOCK_TOLERANCE_S = 600.0
+_VALID_KEY = re.compile(r"[\x21-\x7e]{1,200}")
 
 
 def issued_at(key):
-    """Return when a key was made, if it tells.
+    """Return the creation time that a key contains, if any.
 
     Returns
     -------
     float or None
-        Wall-clock seconds of a UUID of version 7; None for other keys.
+        Wall-clock seconds from a UUID of version 7; None for other keys.
 
     Examples
     --------
@@ -54,8 +54,8 @@
     return (parsed.int >> 80) / 1000
 
 
-def fault(key, now, ttl_s):
-    """Return why a caller's key may not be used.
+def check_key(key, now, ttl_s):
+    """Return a failure if a caller's key is not valid, else None.
 
     Parameters
     ----------
@@ -63,7 +63,7 @@
     now : float
         Wall-clock seconds.
     ttl_s : float
-        How long records are kept.
+        Seconds for which records are kept.
 
     Returns
     -------
@@ -71,28 +71,29 @@
 
     Notes
     -----
-    Visible ASCII only: other bytes of a header are decoded differently
-    from one library to the next, so the key that is asked for later
-    would not be the one that was recorded.
+    Visible ASCII only: HTTP libraries decode other bytes of a header
+    differently, so the key of a later look-up could differ from the
+    recorded one.
 
-    A dated key whose record may have been swept is refused.  It could
-    otherwise run a second time, a day after it ran first.
+    A dated key whose record may have been swept is rejected.  Otherwise
+    its request could run a second time once the record is gone, a day
+    after the first.
 
     Examples
     --------
-    >>> fault("vote-7", 0.0, 10.0) is None
+    >>> check_key("vote-7", 0.0, 10.0) is None
     True
-    >>> fault("a b", 0.0, 10.0).kind
+    >>> check_key("a b", 0.0, 10.0).kind
     <Kind.BAD_REQUEST: 'bad-request'>
     >>> dated = "01890a5d-ac96-774b-bcce-b302099a8057"
-    >>> fault(dated, 1688096060.0, 10.0) is None
+    >>> check_key(dated, 1688096060.0, 10.0) is None
     True
-    >>> fault(dated, 1688096069.0, 10.0).kind
+    >>> check_key(dated, 1688096069.0, 10.0).kind
     <Kind.KEY_EXPIRED: 'key-expired'>
-    >>> fault(dated, 1688095000.0, 10.0).kind
+    >>> check_key(dated, 1688095000.0, 10.0).kind
     <Kind.BAD_REQUEST: 'bad-request'>
     """
-    if _VALID.fullmatch(key) is None:
+    if _VALID_KEY.fullmatch(key) is None:
         return kinds.Failure(
             kinds.Kind.BAD_REQUEST,
             "Idempotency-Key must be 1 to 200 visible ASCII characters",
@@ -104,7 +105,7 @@
         return kinds.Failure(
             kinds.Kind.KEY_EXPIRED, f"made {now - issued:.0f} s ago"
         )
-    if issued - SLACK_S / 2 > now:
+    if issued - CLOCK_TOLERANCE_S / 2 > now:
         return kinds.Failure(
             kinds.Kind.BAD_REQUEST, "Idempotency-Key is dated in the future"
         )
@@ -118,7 +119,7 @@
     -----
     Each part is quoted.  Otherwise team ``a/b`` with service ``c`` and
     team ``a`` with service ``b/c`` would share records, and one team
-    would be handed the answer of another.
+    would receive the answer of the other.
 
     Examples
     --------
@@ -130,12 +131,12 @@
 
 
 def endpoint_key(team, key):
-    """Return the key under which an endpoint knows a call.
+    """Return the key under which a call is sent to an endpoint.
 
     Notes
     -----
-    Endpoints serve all teams: told the bare key, one would take the
-    calls of two teams that chose the same key for one call.
+    Endpoints serve all teams.  Without the team in the key, an endpoint
+    would treat the calls of two teams with the same key as one call.
 
     Examples
     --------
@@ -145,29 +146,29 @@
     return f"{urllib.parse.quote(team, safe='')}/{key}"
 
 
-class Names(typing.NamedTuple):
-    """Names of a request's key.
+class KeyNames(typing.NamedTuple):
+    """Keys derived from a request's idempotency key.
 
     Parameters
     ----------
-    row : str
-        Key of its record.
+    record_key : str
+        Row key of its record.
     service : str
-        Of the stage that may not be repeated.
-    endpoint : str
-        The key as endpoints of the service know it.
+        Service of the non-repeatable stage.
+    endpoint_key : str
+        The key as sent to endpoints of the service.
     """
 
-    row: str
+    record_key: str
     service: str
-    endpoint: str
+    endpoint_key: str
 
 
-def names_of(request):
-    """Return the `Names` of a request's key."""
+def key_names(request):
+    """Return the `KeyNames` of a request."""
     stage = runner.unrepeatable_stage(request.config, request.pipeline)
     service = stage["service"]
-    return Names(
+    return KeyNames(
         record_key(request.team, service, request.key),
         service,
         endpoint_key(request.team, request.key),
@@ -175,19 +176,18 @@
 
 
 def digest_of(request):
-    """Return the digest of what a request asks for."""
+    """Return the digest of a request's pipeline and input."""
     return digest(request.pipeline, request.body)
 
 
 def digest(pipeline, body):
-    """Return a digest of what a request asks for.
+    """Return a digest of a pipeline's name and input.
 
     Parameters
     ----------
     pipeline : str
     body : object
-        The caller's input; the order of an object's members does not
-        matter.
+        The caller's input; the order of object members does not matter.
 
     Returns
     -------
--- a/sycamoreshed/idempotency/lookups.py
+++ b/sycamoreshed/idempotency/lookups.py
@@ -1,4 +1,4 @@
-"""Asking endpoints what became of a call, by its key."""
+"""Look-ups of the outcome of a call at its endpoints, by idempotency key."""
 
 import asyncio
 
@@ -6,17 +6,17 @@
 from sycamoreshed.idempotency import decide
 from sycamoreshed.kernel import kernel
 
-__all__ = ["Asker"]
+__all__ = ["EndpointLookups"]
 
-ASK_TIMEOUT_S = 0.5
-# Refused requests that ask at the same time.
-MOST_REFUSALS = 16
-# Longest time that a refused request waits until it may ask.
-WAIT_S = 2.0
+LOOKUP_TIMEOUT_S = 0.5
+# Concurrent look-ups for rejected requests.
+MAX_REJECTION_LOOKUPS = 16
+# Longest time that a rejected request waits for its turn.
+MAX_WAIT_S = 2.0
 
 
-class Asker:
-    """Asks all endpoints of a service at once.
+class EndpointLookups:
+    """Queries all endpoints of a service concurrently.
 
     Parameters
     ----------
@@ -24,59 +24,63 @@
 
     Notes
     -----
-    A service may keep what it ran per endpoint or in common; asking all
-    serves both, and spares a write that would record the chosen one.
+    Endpoints of a service may record their calls separately or in common.
+    Querying all covers both cases, and saves a write that would record
+    which endpoint was chosen.
     """
 
     def __init__(self, *, client):
         self._client = client
-        self._free = asyncio.Semaphore(MOST_REFUSALS)
+        self._slots = asyncio.Semaphore(MAX_REJECTION_LOOKUPS)
 
-    async def ask(self, config, service, key):
-        """Return what became of a call.
+    async def find_answer(self, config, service, key):
+        """Return the answer of a call if an endpoint reports that it ran.
 
         Parameters
         ----------
         config : Config
         service, key : str
-            The key as endpoints know it.
+            The key as sent to endpoints; see `keys.endpoint_key`.
 
         Returns
         -------
         StageAnswer or None
-            None when it is not known; see `decide.found`.
+            None if the outcome is unknown; see `decide.find_ran_answer`.
         """
-        answer = decide.found(await self._answers(config, service, key))
+        answer = decide.find_ran_answer(
+            await self._look_up_all(config, service, key)
+        )
         if answer is None:
             return None
         return adapters.StageAnswer(answer["output"], 0)
 
-    async def ask_for_refusal(self, config, service, key):
-        """Return what all endpoints tell of a key; see `doubt.from_lookups`.
+    async def look_up_for_rejection(self, config, service, key):
+        """Return the answers of all endpoints; see `prior_runs.from_lookups`.
 
         Notes
         -----
-        While the store is away each refused request asks.  Without a
-        bound they would crowd out the calls that can be served; one that
-        waits too long is refused without having asked.
+        While the store is unavailable, each rejected request needs a
+        look-up.  Without a limit on concurrency, look-ups would crowd out
+        calls that can be served; a request that waits too long is rejected
+        without a look-up.
         """
         try:
-            async with asyncio.timeout(WAIT_S):
-                await self._free.acquire()
+            async with asyncio.timeout(MAX_WAIT_S):
+                await self._slots.acquire()
         except TimeoutError:
             return []
         try:
-            return await self._answers(config, service, key)
+            return await self._look_up_all(config, service, key)
         finally:
-            self._free.release()
+            self._slots.release()
 
-    async def _answers(self, config, service, key):
+    async def _look_up_all(self, config, service, key):
         spec = config.entry("services", service)
         if spec is None or not spec.get("lookup", False):
             return []
         return await asyncio.gather(
             *(
-                self._client.look_up(item, key, timeout=ASK_TIMEOUT_S)
+                self._client.look_up(item, key, timeout=LOOKUP_TIMEOUT_S)
                 for item in config.endpoints.get(service, ())
             )
         )
@@ -84,5 +88,5 @@
 
 @kernel.plugin("asker", needs=("endpoints",))
 async def asker(core):
-    """Provide asking by key."""
-    yield Asker(client=core.part("endpoints"))
+    """Provide look-ups of calls by key."""
+    yield EndpointLookups(client=core.part("endpoints"))
--- a/sycamoreshed/idempotency/once.py
+++ b/sycamoreshed/idempotency/once.py
@@ -1,4 +1,4 @@
-"""Runs requests that may not be repeated, and tells what became of them."""
+"""At-most-once execution of keyed requests, and look-ups of their outcome."""
 
 import time
 
@@ -19,77 +19,86 @@
 from sycamoreshed.kernel import kernel
 from sycamoreshed.pipeline import runner as runners
 
-__all__ = ["Once"]
+__all__ = ["AtMostOnce"]
 
 TEAM = "Team"
 
 
-class _Gate:
-    """Stands before and after the stage that may not be repeated.
+class _ClaimGate:
+    """Runner hooks around the non-repeatable stage.
 
     Parameters
     ----------
-    claim : coroutine function
+    request_claim : coroutine function
         Returns a `Claim`, `Replay` or `Failure`.
-    ask : coroutine function
-        Returns the `StageAnswer` endpoints know of, or None.
+    find_answer : coroutine function
+        Returns the `StageAnswer` that endpoints report, or None.
     """
 
-    def __init__(self, *, claim, ask):
-        self._claim = claim
-        self._ask = ask
-        self.claimed = None
-        self.answer = None
+    def __init__(self, *, request_claim, find_answer):
+        self._request_claim = request_claim
+        self._find_answer = find_answer
+        self.claim = None
+        self.stage_answer = None
 
     async def before(self):
-        """Record the attempt; return None if the stage may be sent."""
-        result = await self._claim()
+        """Claim the key; return None if the stage may be sent."""
+        result = await self._request_claim()
         if not isinstance(result, settling.Claim):
             return result
-        self.claimed = result
+        self.claim = result
         return None
 
     async def after(self, result):
-        """Ask what became of the call if its answer did not come."""
+        """Look up the outcome of the call if its answer was lost."""
         if isinstance(result, kinds.Failure) and result.sent:
-            result = await self._ask() or result
+            result = await self._find_answer() or result
         if not isinstance(result, kinds.Failure):
-            self.answer = result
+            self.stage_answer = result
         return result
 
 
-class Once:
-    """Runs a pipeline at most once for each key.
+class AtMostOnce:
+    """Runs a pipeline at most once for each idempotency key.
 
     Parameters
     ----------
     records : Records
     runner : Runner
-    asker : Asker
+    endpoint_lookups : EndpointLookups
     notes : Notes
     instance : str
     ttl_s : float
-        How long records are kept.
+        Seconds for which records are kept.
     """
 
-    def __init__(self, *, records, runner, asker, notes, instance, ttl_s):
+    def __init__(
+        self, *, records, runner, endpoint_lookups, notes, instance, ttl_s
+    ):
         self._records = records
         self._runner = runner
-        self._asker = asker
+        self._lookups = endpoint_lookups
         self._notes = notes
         self._instance = instance
         self._ttl_s = ttl_s
-        self._refuser = rejections.Refuser(
-            sightings=records.sightings, asker=asker, trace=records.trace
+        self._rejecter = rejections.Rejecter(
+            prior_runs=records.prior_runs,
+            lookups=endpoint_lookups,
+            trace=records.trace,
         )
 
     def track_in_progress(self, request):
-        """Return a context in which others know of a request's key."""
-        return self._records.sightings.under_way(keys.names_of(request).row)
+        """Return a context in which a request's key counts as in progress."""
+        return self._records.prior_runs.track_in_progress(
+            keys.key_names(request).record_key
+        )
 
     def reject_unread(self, request, failure):
-        """Return a refusal before the record was read, as it may be told."""
-        return self._refuser.refuse_at_once(request, failure)
+        """Return a rejection of a request whose record was not read.
+
+        It says "not run" only if no earlier request may have run.
+        """
+        return self._rejecter.reject_unread(request, failure)
 
     async def answer_before_admission(self, request):
         """Answer a request that need not or cannot run, or return None.
@@ -100,31 +109,33 @@
 
         Notes
         -----
-        Asked before admission: a request that only waited for a slot to
-        hear that the store is away would keep it from those that can run.
+        Called before admission, so that requests that fail because the
+        store is unavailable take no slot from requests that can run.
         """
-        refusal = keys.fault(request.key, time.time(), self._ttl_s)
-        if refusal is not None:
-            return refusal
-        refusal = _two_stages(request)
-        if refusal is not None:
-            return self.reject_unread(request, refusal)
-        row_key = keys.names_of(request).row
-        held = self._records.settler.held(row_key)
-        refusal = self._records.refusal()
-        if held is not None:
-            row = tables.Row(row_key, held, tables.ABSENT)
-        elif refusal is not None:
+        failure = keys.check_key(request.key, time.time(), self._ttl_s)
+        if failure is not None:
+            return failure
+        failure = _check_single_unrepeatable(request)
+        if failure is not None:
+            return self.reject_unread(request, failure)
+        row_key = keys.key_names(request).record_key
+        unstored = self._records.settler.unstored_record(row_key)
+        failure = self._records.check_writable()
+        if unstored is not None:
+            row = tables.Row(row_key, unstored, tables.ABSENT)
+        elif failure is not None:
             row = await self._records.read(row_key)
         else:
             return None
-        end = self._records.end_of(row, keys.digest_of(request))
-        if end is None:
-            end = await self._refuser.refuse_by_record(request, refusal, row)
-        return responses.respond(end)
+        result = self._records.recorded_result(row, keys.digest_of(request))
+        if result is None:
+            result = await self._rejecter.reject_by_record(
+                request, failure, row
+            )
+        return responses.replay_response(result)
 
     async def run(self, request):
-        """Run a request, or return the first answer to its key.
+        """Run a request, or return the recorded answer for its key.
 
         Returns
         -------
@@ -132,71 +143,82 @@
 
         Notes
         -----
-        Not to be cancelled when the caller goes away: a write or a call
-        would be left without anybody who settles its record.
+        Must not be cancelled when the caller disconnects: the record of a
+        write or call in progress would never be settled.
         """
         stages = request.spec["stages"]
         names = [stage["name"] for stage in stages]
-        critical = runners.unrepeatable_stage(request.config, request.pipeline)
-        row_key, service, known_as = keys.names_of(request)
+        unrepeatable = runners.unrepeatable_stage(
+            request.config, request.pipeline
+        )
+        row_key, service, endpoint_key = keys.key_names(request)
         record = records.new_record(
             request,
             keys.digest_of(request),
             instance=self._instance,
-            stages=names if critical is stages[-1] else None,
+            stages=names if unrepeatable is stages[-1] else None,
         )
-        if critical is not stages[0]:
-            end = await self._records.peek(row_key, record)
-            if end is not None:
-                return await self._unclaimed(request, end)
-
-        async def learn(row):
-            return await self._learn(row, service, known_as)
+        if unrepeatable is not stages[0]:
+            prior_result = await self._records.peek(row_key, record)
+            if prior_result is not None:
+                return await self._respond_unclaimed(request, prior_result)
+
+        async def complete_from_endpoints(row):
+            return await self._complete_from_endpoints(
+                row, service, endpoint_key
+            )
 
-        async def claim():
+        async def request_claim():
             return await self._records.claim(
-                row_key, record, request.deadline, ask=learn
+                row_key,
+                record,
+                request.deadline,
+                complete_from_endpoints=complete_from_endpoints,
             )
 
-        async def ask():
-            return await self._asker.ask(request.config, service, known_as)
+        async def find_answer():
+            return await self._lookups.find_answer(
+                request.config, service, endpoint_key
+            )
 
-        gate = _Gate(claim=claim, ask=ask)
-        sent = request._replace(key=known_as)
-        result = await self._runner.run(sent, gate=gate)
-        if gate.claimed is None:
-            return await self._unclaimed(request, result)
-        return await self._end(request, critical, gate, result)
+        gate = _ClaimGate(request_claim=request_claim, find_answer=find_answer)
+        forwarded = request._replace(key=endpoint_key)
+        result = await self._runner.run(forwarded, gate=gate)
+        if gate.claim is None:
+            return await self._respond_unclaimed(request, result)
+        return await self._settle_and_respond(
+            request, unrepeatable, gate, result
+        )
 
     async def look_up(self, http):
-        """Tell a caller what became of a request with a key."""
+        """Handle a caller's look-up of the outcome recorded for a key."""
         team = http.headers.get(TEAM, "")
         key = http.match_info["key"]
         service = self._service_of(http.match_info)
         if isinstance(service, kinds.Failure):
             return problems.response(service)
         row_key = keys.record_key(team, service, key)
-        held = self._records.settler.held(row_key)
-        if held is not None:
-            return responses.tell(held)
+        unstored = self._records.settler.unstored_record(row_key)
+        if unstored is not None:
+            return responses.record_response(unstored)
         row = await self._records.read(row_key)
         if isinstance(row, kinds.Failure):
-            # Not "not run", which is what a store that is away means to
-            # a request: this one was sent earlier and may have run.
+            # For a new request, an unavailable store means "not run"; the
+            # request that is looked up was sent earlier and may have run.
             unknown = row._replace(kind=kinds.Kind.OUTCOME_UNKNOWN, sent=True)
             return problems.response(unknown)
-        known_as = keys.endpoint_key(team, key)
-        row = await self._learn(row, service, known_as)
+        endpoint_key = keys.endpoint_key(team, key)
+        row = await self._complete_from_endpoints(row, service, endpoint_key)
         if row.value is None:
             return problems.response(
                 kinds.Failure(kinds.Kind.KEY_UNKNOWN, "nothing is recorded")
             )
-        return responses.tell(row.value)
+        return responses.record_response(row.value)
 
-    def _service_of(self, match):
-        if "service" in match:
-            return match["service"]
-        config, pipeline = self._notes.config, match["pipeline"]
+    def _service_of(self, match_info):
+        if "service" in match_info:
+            return match_info["service"]
+        config, pipeline = self._notes.config, match_info["pipeline"]
         stage = None
         if config.entry("pipelines", pipeline) is not None:
             stage = runners.unrepeatable_stage(config, pipeline)
@@ -207,24 +229,24 @@
             )
         return stage["service"]
 
-    async def _unclaimed(self, request, result):
-        """Return what a request is told that has sent nothing."""
+    async def _respond_unclaimed(self, request, result):
+        """Return the answer to a request that has claimed nothing."""
         if not isinstance(result, kinds.Failure) or result.sent:
-            return responses.respond(result)
-        return await self._refuser.refuse_after_claim(
-            request, responses.unsent(result)
+            return responses.replay_response(result)
+        return await self._rejecter.reject_after_claim(
+            request, responses.as_not_run(result)
         )
 
-    async def _end(self, request, critical, gate, result):
+    async def _settle_and_respond(self, request, unrepeatable, gate, result):
         failure = result if isinstance(result, kinds.Failure) else None
-        end = decide.after_run(failure, gate.answer is not None)
-        if end is decide.End.RELEASE:
-            await self._records.settler.release(gate.claimed)
-            return await self._refuser.refuse_after_claim(
-                request, responses.unsent(failure)
+        end = decide.after_run(failure, gate.stage_answer is not None)
+        if end is decide.RunEnd.RELEASE:
+            await self._records.settler.release(gate.claim)
+            return await self._rejecter.reject_after_claim(
+                request, responses.as_not_run(failure)
             )
-        self._records.sightings.add(gate.claimed.key)
-        if end is decide.End.LEAVE:
+        self._records.prior_runs.add(gate.claim.key)
+        if end is decide.RunEnd.LEAVE:
             path = f"/v1/pipelines/{request.pipeline}/keys/{request.key}"
             return failure._replace(
                 kind=kinds.Kind.OUTCOME_UNKNOWN,
@@ -233,22 +255,24 @@
         if failure is None:
             raw, status = answers.encode(request, result), responses.OK
         else:
-            raw, status = responses.ran_document(
-                request, critical, gate.answer.output, failure
+            raw, status = responses.ran_problem(
+                request, unrepeatable, gate.stage_answer.output, failure
             )
         replay = await self._records.settler.finish(
-            gate.claimed, raw.decode(), status, request.deadline
+            gate.claim, raw.decode(), status, request.deadline
         )
-        return responses.respond(replay)
+        return responses.replay_response(replay)
 
-    async def _learn(self, row, service, known_as):
-        """Return the row as it is known after endpoints were asked."""
+    async def _complete_from_endpoints(self, row, service, endpoint_key):
+        """Return the row, completed if an endpoint reports that it ran."""
         record = row.value
         if record is None or record["state"] != decide.State.BEGUN:
             return row
         if "stages" not in record:
             return row
-        answer = await self._asker.ask(self._notes.config, service, known_as)
+        answer = await self._lookups.find_answer(
+            self._notes.config, service, endpoint_key
+        )
         if answer is None:
             return row
         raw = answers.encode_parts(
@@ -260,13 +284,13 @@
         return await self._records.complete(row, raw.decode()) or row
 
 
-def _two_stages(request):
-    """Return a failure if two stages may not be repeated, or None.
+def _check_single_unrepeatable(request):
+    """Return a failure if several stages are non-repeatable, else None.
 
     Notes
     -----
-    One record cannot tell of two calls: were the first done and the
-    answer of the second lost, no outcome would be true of both.
+    One record cannot hold the outcome of two calls: if the first is done
+    and the answer of the second is lost, no outcome holds for both.
     """
     services = request.config.sections["services"]
     names = [
@@ -285,10 +309,10 @@
 @kernel.plugin("once", needs=("asker", "notes", "records", "runner"))
 async def once(core):
     """Provide at-most-once execution, and look-ups by key."""
-    part = Once(
+    part = AtMostOnce(
         records=core.part("records"),
         runner=core.part("runner"),
-        asker=core.part("asker"),
+        endpoint_lookups=core.part("asker"),
         notes=core.part("notes"),
         instance=core.settings.instance,
         ttl_s=core.settings.record_ttl_s,
--- a/sycamoreshed/idempotency/prior_runs.py
+++ b/sycamoreshed/idempotency/prior_runs.py
@@ -1,8 +1,8 @@
-"""Whether an earlier request with a key may have run.
+"""Whether an earlier request with the same idempotency key may have run.
 
-A request can be refused before its record is read.  It did not run itself,
-but "not run" would also be understood of the key: a caller whose earlier
-request ran would act a second time, under a new key.
+A request can be rejected before its record is read.  It did not run itself,
+but callers take "not run" as true of the key: if an earlier request with the
+key has run, its caller would send the work a second time under a new key.
 """
 
 import collections
@@ -13,94 +13,93 @@
 from sycamoreshed.adapters import table as tables
 from sycamoreshed.idempotency import decide
 
-__all__ = ["Sightings", "from_lookups", "from_record", "from_caller"]
+__all__ = ["PriorRuns", "from_lookups", "from_record", "from_caller"]
 
-MOST_KEYS = 10_000
+MAX_KEYS = 10_000
 
 
-class Sightings:
-    """Keys with which a request may have run, as far as this instance saw.
+class PriorRuns:
+    """Keys of requests that may have run, as seen by this instance.
 
     Parameters
     ----------
-    most : int
-        Keys that are remembered; the oldest are forgotten first.
+    max_keys : int
+        Number of keys that are stored; the oldest are dropped first.
 
     Notes
     -----
-    A key that is not here proves nothing: another instance may have seen
-    it.  Keys are kept as hashes, so two may rarely be taken for the same;
-    the caller of one is then told "unknown" instead of "not run".
+    The absence of a key proves nothing: another instance may have handled
+    it.  Keys are stored as hashes, so in rare cases two collide; the
+    caller of one then receives "unknown" instead of "not run".
 
     Examples
     --------
-    >>> sightings = Sightings()
-    >>> with sightings.under_way("k"):
-    ...     alone = sightings.has("k")
-    ...     with sightings.under_way("k"):
-    ...         both = sightings.has("k")
-    >>> alone, both, sightings.has("k")
+    >>> prior = PriorRuns()
+    >>> with prior.track_in_progress("k"):
+    ...     alone = prior.has_other("k")
+    ...     with prior.track_in_progress("k"):
+    ...         both = prior.has_other("k")
+    >>> alone, both, prior.has_other("k")
     (False, True, False)
-    >>> sightings.add("k")
-    >>> sightings.has("k")
+    >>> prior.add("k")
+    >>> prior.has_other("k")
     True
     """
 
-    def __init__(self, *, most=MOST_KEYS):
-        self._most = most
+    def __init__(self, *, max_keys=MAX_KEYS):
+        self._max_keys = max_keys
         self._ran = collections.OrderedDict()
-        self._under_way = collections.Counter()
+        self._in_progress = collections.Counter()
 
     @contextlib.contextmanager
-    def under_way(self, key):
-        """Count a request with a key for as long as it is not answered."""
-        name = _hashed(key)
-        self._under_way[name] += 1
+    def track_in_progress(self, key):
+        """Return a context that counts a request with a key until its end."""
+        key_hash = _hash_of(key)
+        self._in_progress[key_hash] += 1
         try:
             yield
         finally:
-            self._under_way[name] -= 1
-            if not self._under_way[name]:
-                del self._under_way[name]
+            self._in_progress[key_hash] -= 1
+            if not self._in_progress[key_hash]:
+                del self._in_progress[key_hash]
 
     def add(self, key):
-        """Note that a request with a key may have run."""
-        name = _hashed(key)
-        self._ran[name] = None
-        self._ran.move_to_end(name)
-        if len(self._ran) > self._most:
+        """Record that a request with a key may have run."""
+        key_hash = _hash_of(key)
+        self._ran[key_hash] = None
+        self._ran.move_to_end(key_hash)
+        if len(self._ran) > self._max_keys:
             self._ran.popitem(last=False)
 
-    def has(self, key):
-        """Tell whether a request other than the asking one may run.
+    def has_other(self, key):
+        """Return whether another request with a key may have run.
 
         Notes
         -----
-        The asking request is itself counted as under way.
+        Called for a request that is itself counted as in progress.
         """
-        name = _hashed(key)
-        return name in self._ran or self._under_way[name] > 1
+        key_hash = _hash_of(key)
+        return key_hash in self._ran or self._in_progress[key_hash] > 1
 
 
-def _hashed(key):
+def _hash_of(key):
     return xxhash.xxh3_64_intdigest(key.encode())
 
 
 def from_caller(repeat, *, is_seen):
-    """Judge by what the caller tells, and what this instance saw.
+    """Decide from the caller's statement and the state of this instance.
 
     Parameters
     ----------
     repeat : bool or None
         See `Request`.
     is_seen : bool
-        Whether this instance knows of another request with the key.
+        Whether this instance has handled another request with the key.
 
     Returns
     -------
     bool or None
-        Whether an earlier request may have run; None if this does not
-        tell.
+        Whether an earlier request may have run; None if undecided.
 
     Examples
     --------
@@ -113,12 +112,17 @@
 
 
 def from_record(row):
-    """Judge by the record of the key; see `from_caller`.
+    """Decide from the record of the key.
 
     Parameters
     ----------
     row : Row or Failure
 
+    Returns
+    -------
+    bool or None
+        See `from_caller`.
+
     Examples
     --------
     >>> from_record(tables.Row("k", None, 0))
@@ -134,12 +138,12 @@
 
 
 def from_lookups(answers):
-    """Judge by what the endpoints of the service tell of the key.
+    """Decide from look-ups of the key at all endpoints of the service.
 
     Parameters
     ----------
     answers : list of dict or Failure
-        Of all endpoints; empty if they cannot be asked.
+        From all endpoints; empty if they cannot be queried.
 
     Returns
     -------
@@ -147,9 +151,9 @@
 
     Notes
     -----
-    "Never" of all endpoints does not end a request: its call may be on
-    its way.  Here it only stands in for the word of a caller who does not
-    tell whether there was an earlier request.
+    "Never" from all endpoints does not prove that a request did not run:
+    its call may be in flight.  Here it only replaces the missing statement
+    of a caller that does not say whether it sent an earlier request.
 
     Examples
     --------
--- a/sycamoreshed/idempotency/records.py
+++ b/sycamoreshed/idempotency/records.py
@@ -1,4 +1,4 @@
-"""Records of requests that may not be repeated, in the table service."""
+"""Idempotency records of non-repeatable requests, in the table service."""
 
 import asyncio
 import time
@@ -19,17 +19,17 @@
 __all__ = ["Records", "new_record"]
 
 OK = 200
-_AGAIN = (decide.Step.CLAIM_AGAIN, decide.Step.TRY_AGAIN)
+_RETRY_STEPS = (decide.Step.CLAIM_AGAIN, decide.Step.TRY_AGAIN)
 
 
 def new_record(request, body, *, instance, stages=None):
-    """Return the record of an attempt that begins.
+    """Return the record of an attempt that has just begun.
 
     Parameters
     ----------
     request : Request
     body : str
-        Digest of what it asks for.
+        Digest of its pipeline and input.
     instance : str
     stages : list of str, optional
         See `decide.Record`.
@@ -49,7 +49,7 @@
 
 
 class Records:
-    """Claims records, and completes those of others.
+    """Claims records, and completes those of other attempts.
 
     Parameters
     ----------
@@ -58,45 +58,46 @@
         Returns monotonic seconds.
     settler : Settler
     log : DecisionLog, optional
-        One of its own if there is none.
+        Defaults to a new one.
     """
 
     def __init__(self, *, store, clock, settler, log=None):
         self.store = store
-        self.sightings = prior_runs.Sightings()
+        self.prior_runs = prior_runs.PriorRuns()
         self.trace = traces.Trace(log=log or logs.DecisionLog(), clock=clock)
         self._clock = clock
         self.settler = settler
 
-    def refusal(self):
-        """Return a failure if nothing can be recorded just now, or None."""
-        return self.store.refusal()
+    def check_writable(self):
+        """Return a failure if writes are rejected at present, or None."""
+        return self.store.check_writable()
 
     async def read(self, key):
         """Return the row of a record, or a failure."""
         return await self.store.read(key)
 
-    def end_of(self, row, body):
-        """Return what a record tells a request that writes nothing.
+    def recorded_result(self, row, body):
+        """Return the result that a record holds for a request, if any.
 
         Parameters
         ----------
         row : Row or Failure
         body : str
-            Digest of what the request asks for.
+            Digest of the request's pipeline and input.
 
         Returns
         -------
         Replay, Failure or None
-            None unless the key has its answer, or another body.
+            A replay if the answer is recorded, a failure if the key was
+            used with another body, else None.
         """
         step = decide.after_read(row, None, body)
         if step in (decide.Step.REPLAY, decide.Step.CONFLICT):
-            return self._conclude(step, row, earlier_may_have_run=False)
+            return self._result_of(step, row, earlier_may_have_run=False)
         return None
 
     async def peek(self, key, record):
-        """Look for the end of a key before any stage runs.
+        """Look for a recorded result of a key before any stage runs.
 
         Returns
         -------
@@ -106,14 +107,14 @@
         row = await self.store.read(key)
         step = decide.after_read(row, record["attempt"], record["body"])
         if step is decide.Step.WAIT:
-            self.sightings.add(key)
+            self.prior_runs.add(key)
             return None
         if step is decide.Step.CLAIM_AGAIN:
             return None
-        return self._conclude(step, row, earlier_may_have_run=True)
+        return self._result_of(step, row, earlier_may_have_run=True)
 
-    async def claim(self, key, record, deadline, *, ask):
-        """Record an attempt before anything is sent.
+    async def claim(self, key, record, deadline, *, complete_from_endpoints):
+        """Claim a key for an attempt before anything is sent.
 
         Parameters
         ----------
@@ -121,27 +122,31 @@
         record : Record
         deadline : float
             Monotonic seconds.
-        ask : coroutine function
+        complete_from_endpoints : coroutine function
             Takes the row of another attempt that has begun; returns the
-            row as it is known after endpoints were asked.
+            row, completed if an endpoint reports that the call ran.
 
         Returns
         -------
         Claim, Replay or Failure
             A failure has ``sent`` false if this attempt did not run and
-            never will; ``earlier_may_have_run`` is true if the record did
-            not tell whether an earlier one has run.
+            never will; its ``earlier_may_have_run`` is true if the record
+            did not show whether an earlier attempt has run.
         """
         version = tables.ABSENT
-        is_lost = False
+        may_be_written = False
         earlier_may_have_run = True
-        away_since = None
-        for pause in settling.pauses():
-            step, row, lost = await self._try(key, record, version)
-            is_lost = is_lost or lost
+        unavailable_since = None
+        for pause in settling.backoff_pauses():
+            step, row, is_answer_lost = await self._try_claim(
+                key, record, version
+            )
+            may_be_written = may_be_written or is_answer_lost
             if step is decide.Step.WAIT:
-                step, row = await self._watch(key, record, deadline, ask, row)
-            self.trace.row(
+                step, row = await self._wait_for_owner(
+                    key, record, deadline, complete_from_endpoints, row
+                )
+            self.trace.log_row(
                 "claim", row, request=record["attempt"], step=step.value
             )
             if step is decide.Step.SEND:
@@ -149,45 +154,57 @@
             if prior_runs.from_record(row) is False:
                 earlier_may_have_run = False
             now = self._clock()
-            away_since = _since(away_since, now, is_away=self.store.away)
-            is_away = away_since is not None and not decide.waits_out(
-                now, away_since, self.store.retry_after, is_lost=is_lost
+            unavailable_since = _unavailable_since(
+                unavailable_since,
+                now,
+                is_unavailable=self.store.is_unavailable,
+            )
+            is_unavailable = (
+                unavailable_since is not None
+                and not decide.can_wait_for_store(
+                    now,
+                    unavailable_since,
+                    self.store.retry_after,
+                    may_be_written=may_be_written,
+                )
             )
-            if step not in _AGAIN or decide.gives_up(now, deadline, is_away):
+            if step not in _RETRY_STEPS or decide.is_claim_abandoned(
+                now, deadline, is_unavailable
+            ):
                 break
             if step is decide.Step.CLAIM_AGAIN and row.version != version:
                 version = row.version
             else:
                 await asyncio.sleep(pause)
-        if is_lost:
+        if may_be_written:
             self.settler.fence(key, record)
-        return self._conclude(
+        return self._result_of(
             step, row, earlier_may_have_run=earlier_may_have_run
         )
 
     async def complete(self, row, answer):
-        """Store the answer of an attempt whose instance has not.
+        """Store the answer of an attempt whose own instance has not done so.
 
         Parameters
         ----------
         row : Row
             Of an attempt that has begun.
         answer : str
-            Made from the output an endpoint told.
+            Built from the output that an endpoint reported.
 
         Returns
         -------
         Row or None
-            The row as it is now, which may be another attempt's; None if
-            it is not known.  See `decide.completed`.
+            The current row, which may belong to another attempt; None if
+            unknown.  See `decide.row_after_completion`.
         """
-        record = settling.done(row.value, answer, OK)
+        record = settling.done_record(row.value, answer, OK)
         write = tables.Write(row.key, record, row.version)
         result = await self.store.write(write)
-        self.trace.write("complete", write, result)
-        return decide.completed(result, write)
+        self.trace.log_write("complete", write, result)
+        return decide.row_after_completion(result, write)
 
-    async def _try(self, key, record, version):
+    async def _try_claim(self, key, record, version):
         attempt, body = record["attempt"], record["body"]
         result = await self.store.write(tables.Write(key, record, version))
         step = decide.after_write(result, attempt, body)
@@ -200,35 +217,37 @@
         row = await self.store.read(key)
         step = decide.after_read(row, attempt, body)
         if step is decide.Step.SEND:
-            self.store.confirm()
+            self.store.confirm_write()
         return step, row, True
 
-    async def _watch(self, key, record, deadline, ask, row):
+    async def _wait_for_owner(
+        self, key, record, deadline, complete_from_endpoints, row
+    ):
         attempt, body = record["attempt"], record["body"]
-        for pause in settling.pauses():
-            row = await ask(row)
+        for pause in settling.backoff_pauses():
+            row = await complete_from_endpoints(row)
             step = decide.after_read(row, attempt, body)
             if step is not decide.Step.WAIT:
                 return step, row
             now = self._clock()
-            if decide.gives_up(now, deadline, False):
+            if decide.is_claim_abandoned(now, deadline, False):
                 return step, row
-            # The last look is as late as it may be.
-            left = deadline - now - decide.MARGIN_S
-            await asyncio.sleep(min(pause, left))
-            seen = await self.store.read(key)
-            if isinstance(seen, kinds.Failure):
+            # The last read is as late as the deadline allows.
+            remaining_s = deadline - now - decide.DEADLINE_MARGIN_S
+            await asyncio.sleep(min(pause, remaining_s))
+            current = await self.store.read(key)
+            if isinstance(current, kinds.Failure):
                 continue
-            row = seen
+            row = current
             step = decide.after_read(row, attempt, body)
             if step is not decide.Step.WAIT:
                 return step, row
 
-    def _conclude(self, step, row, *, earlier_may_have_run):
+    def _result_of(self, step, row, *, earlier_may_have_run):
         if prior_runs.from_record(row):
-            self.sightings.add(row.key)
+            self.prior_runs.add(row.key)
         if step is decide.Step.REPLAY:
-            return settling.replay(row)
+            return settling.replay_of(row)
         if step is decide.Step.CONFLICT:
             first = row.value["pipeline"]
             return kinds.Failure(
@@ -251,16 +270,16 @@
         )
 
 
-def _since(since, now, *, is_away):
-    """Return since when the store is away, or None."""
-    if not is_away:
+def _unavailable_since(previous, now, *, is_unavailable):
+    """Return the time since which the store is unavailable, or None."""
+    if not is_unavailable:
         return None
-    return now if since is None else since
+    return now if previous is None else previous
 
 
 @kernel.plugin("records", needs=("decisions", "metrics", "table"))
 async def records(core):
-    """Provide records of requests that may not be repeated."""
+    """Provide the idempotency records of non-repeatable requests."""
     registry = core.part("metrics").registry
     calls = prometheus_client.Counter(
         "sycamoreshed_record_calls",
@@ -278,7 +297,7 @@
         breaker=breaker.Breaker(),
         calls=calls,
         spawn=core.spawn,
-        group=core.settings.record_group,
+        max_group_size=core.settings.record_group,
     )
     log = core.part("decisions")
     settler = settling.Settler(
--- a/sycamoreshed/idempotency/rejections.py
+++ b/sycamoreshed/idempotency/rejections.py
@@ -1,28 +1,28 @@
-"""Refusals of requests with a key, told as far as they are true."""
+"""Rejections of keyed requests that hold for all requests with the key."""
 
 from sycamoreshed.idempotency import keys
 from sycamoreshed.idempotency import prior_runs
 
-__all__ = ["Refuser"]
+__all__ = ["Rejecter"]
 
 
-class Refuser:
-    """Tells of a refusal whether an earlier request may have run.
+class Rejecter:
+    """Sets on a rejection whether an earlier request may have run.
 
     Parameters
     ----------
-    sightings : Sightings
-    asker : Asker
+    prior_runs : PriorRuns
+    lookups : EndpointLookups
     trace : Trace
     """
 
-    def __init__(self, *, sightings, asker, trace):
-        self._sightings = sightings
-        self._asker = asker
+    def __init__(self, *, prior_runs, lookups, trace):
+        self._prior_runs = prior_runs
+        self._lookups = lookups
         self._trace = trace
 
-    def refuse_at_once(self, request, failure):
-        """Return a refusal of a request whose record was not looked at.
+    def reject_unread(self, request, failure):
+        """Return the rejection of a request whose record was not read.
 
         Parameters
         ----------
@@ -35,13 +35,13 @@
 
         Notes
         -----
-        Given for load, so it costs no call of the store or an endpoint.
+        Used under overload, so it calls neither the store nor endpoints.
         """
-        earlier_may_have_run = self._known(request) is not False
-        return self._told(request, failure, earlier_may_have_run)
+        earlier_may_have_run = self._local_verdict(request) is not False
+        return self._finish(request, failure, earlier_may_have_run)
 
-    async def refuse_by_record(self, request, failure, row):
-        """Return a refusal after its record was looked for.
+    async def reject_by_record(self, request, failure, row):
+        """Return the rejection of a request after a read of its record.
 
         Parameters
         ----------
@@ -50,48 +50,49 @@
         row : Row or Failure
         """
         recorded = prior_runs.from_record(row)
-        verdict = recorded or self._known(request)
+        verdict = recorded or self._local_verdict(request)
         if verdict is None:
             verdict = recorded
         if verdict is None:
-            verdict = await self._asked(request)
-        return self._told(request, failure, verdict, row)
+            verdict = await self._verdict_of_endpoints(request)
+        return self._finish(request, failure, verdict, row)
 
-    async def refuse_after_claim(self, request, failure):
-        """Return the failure of an attempt that sent nothing.
+    async def reject_after_claim(self, request, failure):
+        """Return the rejection of an attempt that sent nothing.
 
         Parameters
         ----------
         request : Request
         failure : Failure
-            With ``earlier_may_have_run`` true if the attempt did not read
-            the record.
+            With ``earlier_may_have_run`` true if the attempt could not
+            read the record.
         """
-        verdict = self._known(request)
+        verdict = self._local_verdict(request)
         if verdict is None:
-            verdict = failure.earlier_may_have_run and await self._asked(
-                request
+            verdict = (
+                failure.earlier_may_have_run
+                and await self._verdict_of_endpoints(request)
             )
-        return self._told(request, failure, verdict)
+        return self._finish(request, failure, verdict)
 
-    def _known(self, request):
+    def _local_verdict(self, request):
         return prior_runs.from_caller(
             request.repeat, is_seen=self._is_seen(request)
         )
 
     def _is_seen(self, request):
-        return self._sightings.has(keys.names_of(request).row)
+        return self._prior_runs.has_other(keys.key_names(request).record_key)
 
-    async def _asked(self, request):
-        names = keys.names_of(request)
-        answers = await self._asker.ask_for_refusal(
-            request.config, names.service, names.endpoint
+    async def _verdict_of_endpoints(self, request):
+        names = keys.key_names(request)
+        answers = await self._lookups.look_up_for_rejection(
+            request.config, names.service, names.endpoint_key
         )
         return prior_runs.from_lookups(answers)
 
-    def _told(self, request, failure, earlier_may_have_run, row=None):
+    def _finish(self, request, failure, earlier_may_have_run, row=None):
         failure = failure._replace(earlier_may_have_run=earlier_may_have_run)
-        self._trace.refusal(
+        self._trace.log_rejection(
             failure, request=request, row=row, is_seen=self._is_seen(request)
         )
         return failure
--- a/sycamoreshed/idempotency/responses.py
+++ b/sycamoreshed/idempotency/responses.py
@@ -1,4 +1,4 @@
-"""What callers are told of requests that may not be repeated."""
+"""HTTP answers to requests with an idempotency key."""
 
 from aiohttp import web
 import msgspec
@@ -9,12 +9,18 @@
 from sycamoreshed.idempotency import decide
 from sycamoreshed.idempotency import settling
 
-__all__ = ["OK", "ran_document", "respond", "tell", "unsent"]
+__all__ = [
+    "OK",
+    "as_not_run",
+    "ran_problem",
+    "record_response",
+    "replay_response",
+]
 
 OK = 200
-# Kinds that would not be told as "not run", and what is told instead
-# when nothing was sent that may not be repeated.
-_UNSENT = {
+# Kinds whose outcome is not "not run", and the kinds that replace them if
+# the non-repeatable stage was not sent.
+_NOT_RUN_KINDS = {
     kinds.Kind.LATE: kinds.Kind.HOPELESS,
     kinds.Kind.STAGE_FAILED: kinds.Kind.REFUSED,
     kinds.Kind.BROKEN_STREAM: kinds.Kind.REFUSED,
@@ -23,28 +29,28 @@
 }
 
 
-def ran_document(request, critical, output, failure):
-    """Return the body and status of a failure after the stage ran."""
+def ran_problem(request, unrepeatable, output, failure):
+    """Return body and status for a run that failed after `unrepeatable`."""
     failure = failure._replace(
-        reason=f"stage {critical['name']} ran; {failure.reason}", sent=True
+        reason=f"stage {unrepeatable['name']} ran; {failure.reason}", sent=True
     )
     details = problems.document(failure, request.id)
     details["ran"] = {
-        "stage": critical["name"],
+        "stage": unrepeatable["name"],
         "output": output,
     }
     return msgspec.json.encode(details), details["status"]
 
 
-def unsent(result):
-    """Return a failure so that it is told as "not run"."""
+def as_not_run(result):
+    """Return an unsent failure with a kind whose outcome is "not run"."""
     if not isinstance(result, kinds.Failure) or result.sent:
         return result
-    return result._replace(kind=_UNSENT.get(result.kind, result.kind))
+    return result._replace(kind=_NOT_RUN_KINDS.get(result.kind, result.kind))
 
 
-def respond(result):
-    """Return the HTTP answer of a replay; other results as they are."""
+def replay_response(result):
+    """Return the HTTP answer for a replay; other results unchanged."""
     if not isinstance(result, settling.Replay):
         return result
     raw = result.answer.encode()
@@ -59,10 +65,12 @@
     )
 
 
-def tell(record):
-    """Return the HTTP answer that tells of a record."""
+def record_response(record):
+    """Return the HTTP answer to a look-up of a record."""
     if record["state"] == decide.State.DONE:
-        return respond(settling.Replay(record["answer"], record["status"]))
+        return replay_response(
+            settling.Replay(record["answer"], record["status"])
+        )
     outcome = kinds.Outcome.OUTCOME_UNKNOWN
     if record["state"] == decide.State.NOT_RUN:
         outcome = kinds.Outcome.NOT_RUN
--- a/sycamoreshed/idempotency/settling.py
+++ b/sycamoreshed/idempotency/settling.py
@@ -1,4 +1,4 @@
-"""Writing how an attempt ended, in the background if need be."""
+"""Writes that settle the record of an attempt, in the background if slow."""
 
 import asyncio
 import random
@@ -12,19 +12,26 @@
 from sycamoreshed.idempotency import trace as traces
 from sycamoreshed.observe import logs
 
-__all__ = ["Claim", "Replay", "Settler", "done", "pauses", "replay"]
+__all__ = [
+    "Claim",
+    "Replay",
+    "Settler",
+    "backoff_pauses",
+    "done_record",
+    "replay_of",
+]
 
-FIRST_PAUSE_S = 0.03
-LONGEST_PAUSE_S = 1.0
-LONGEST_LATER_S = 4.0
-FLUSH_S = 5.0
-# The answer waits this long for its record; then it goes out and the
-# record is written in the background.
-FINISH_WAIT_S = 0.25
+INITIAL_PAUSE_S = 0.03
+MAX_PAUSE_S = 1.0
+MAX_BACKGROUND_PAUSE_S = 4.0
+FLUSH_TIMEOUT_S = 5.0
+# An answer is delayed at most this long until its record is written; after
+# that it is sent, and the write goes on in the background.
+MAX_FINISH_WAIT_S = 0.25
 
 
 class Claim(typing.NamedTuple):
-    """Leave to send the call, once.
+    """Permission to send the call once.
 
     Parameters
     ----------
@@ -41,28 +48,28 @@
 
 
 class Replay(typing.NamedTuple):
-    """The first answer, as it was given."""
+    """The recorded answer, as it was first sent."""
 
     answer: str
     status: int
 
 
-def pauses(longest=LONGEST_PAUSE_S):
-    """Yield growing pauses in seconds, each drawn from its upper half.
+def backoff_pauses(max_s=MAX_PAUSE_S):
+    """Yield exponential backoff pauses in seconds, jittered by up to half.
 
     Notes
     -----
-    Many that wait for the same record, or for the store to come back,
-    would otherwise ask in step.
+    Without jitter, all that wait for the same record, or for the store to
+    recover, would send their requests at the same moments.
     """
-    pause = FIRST_PAUSE_S
+    pause = INITIAL_PAUSE_S
     while True:
         yield random.uniform(pause / 2, pause)
-        pause = min(pause * 2, longest)
+        pause = min(pause * 2, max_s)
 
 
-def done(record, answer, status):
-    """Return a record with its answer."""
+def done_record(record, answer, status):
+    """Return a record as done, with its answer."""
     return {
         **record,
         "state": decide.State.DONE,
@@ -71,13 +78,13 @@
     }
 
 
-def replay(row):
+def replay_of(row):
     """Return the recorded answer of a row."""
     return Replay(row.value["answer"], row.value["status"])
 
 
 class Settler:
-    """Finishes, releases and fences off records.
+    """Writes the final state of records, and fences off ended attempts.
 
     Parameters
     ----------
@@ -87,7 +94,7 @@
     spawn : callable
         Runs a coroutine in the background.
     log : DecisionLog, optional
-        One of its own if there is none.
+        Defaults to a new one.
     """
 
     def __init__(self, *, store, clock, spawn, log=None):
@@ -95,20 +102,20 @@
         self._trace = traces.Trace(log=log or logs.DecisionLog(), clock=clock)
         self._clock = clock
         self._spawn = spawn
-        self._later = set()
-        self._held = {}
+        self._tasks = set()
+        self._unstored = {}
 
     @property
     def pending(self):
-        """Number of writes that go on in the background."""
-        return len(self._later)
+        """Number of writes in progress in the background."""
+        return len(self._tasks)
 
-    def held(self, key):
-        """Return the record of an answer that is not stored yet, or None."""
-        return self._held.get(key)
+    def unstored_record(self, key):
+        """Return the record of an answer still being written, or None."""
+        return self._unstored.get(key)
 
     async def finish(self, claim, answer, status, deadline):
-        """Store an answer; in the background if that takes long.
+        """Store an answer; go on in the background if that takes long.
 
         Parameters
         ----------
@@ -121,26 +128,26 @@
         Returns
         -------
         Replay
-            What the caller is to be given.
+            The answer to send to the caller.
         """
-        record = done(claim.record, answer, status)
-        task = self._go_on(self._settle(claim, record))
-        self._held[claim.key] = record
-        task.add_done_callback(lambda _: self._held.pop(claim.key, None))
-        seconds = min(deadline - self._clock(), FINISH_WAIT_S)
-        await asyncio.wait({task}, timeout=max(seconds, 0))
+        record = done_record(claim.record, answer, status)
+        task = self._spawn_write(self._settle(claim, record))
+        self._unstored[claim.key] = record
+        task.add_done_callback(lambda _: self._unstored.pop(claim.key, None))
+        timeout_s = min(deadline - self._clock(), MAX_FINISH_WAIT_S)
+        await asyncio.wait({task}, timeout=max(timeout_s, 0))
         if task.done() and task.result() is not None:
             return task.result()
         return Replay(answer, status)
 
     async def release(self, claim):
-        """Store that the call was not sent and never will be."""
+        """Record that the call was not sent and never will be."""
         record = {**claim.record, "state": decide.State.NOT_RUN}
-        task = self._go_on(self._settle(claim, record))
-        await asyncio.wait({task}, timeout=FINISH_WAIT_S)
+        task = self._spawn_write(self._settle(claim, record))
+        await asyncio.wait({task}, timeout=MAX_FINISH_WAIT_S)
 
     def fence(self, key, record):
-        """Begin to fence off an attempt that ended in doubt.
+        """Start to fence off an attempt with a write of unknown result.
 
         Parameters
         ----------
@@ -148,28 +155,28 @@
         record : Record
             Of the attempt, which sent nothing and never will.
         """
-        self._go_on(self._fence(key, record))
+        self._spawn_write(self._fence(key, record))
 
     async def flush(self):
-        """Wait a while for what goes on in the background."""
-        if self._later:
-            await asyncio.wait(set(self._later), timeout=FLUSH_S)
-        if self._later:
-            logger.bind(records=len(self._later)).warning(
+        """Wait for the background writes, for a limited time."""
+        if self._tasks:
+            await asyncio.wait(set(self._tasks), timeout=FLUSH_TIMEOUT_S)
+        if self._tasks:
+            logger.bind(records=len(self._tasks)).warning(
                 "records left unsettled"
             )
 
     async def _settle(self, claim, record):
         version = claim.version
-        for pause in pauses(LONGEST_LATER_S):
+        for pause in backoff_pauses(MAX_BACKGROUND_PAUSE_S):
             write = tables.Write(claim.key, record, version)
             result = await self._store.write(write)
-            self._trace.write("settle", write, result)
+            self._trace.log_write("settle", write, result)
             if isinstance(result, kinds.Failure) and result.sent:
                 result = await self._read_back(write, result)
             step = decide.after_finish(result, record["attempt"])
             if step is decide.Step.REPLAY:
-                return replay(result.rows[0])
+                return replay_of(result.rows[0])
             if step is decide.Step.CLAIM_AGAIN:
                 version = result.rows[0].version
                 continue
@@ -177,39 +184,39 @@
                 return None
             await asyncio.sleep(pause)
 
-    async def _read_back(self, write, lost):
-        """Return what came of a write whose answer was lost.
+    async def _read_back(self, write, failure):
+        """Return the result of a write whose answer was lost.
 
         Notes
         -----
-        Where all answers to writes are lost, a write that is only sent
-        again never ends, and keeps the breaker open for new requests.
+        If all answers to writes are lost, repeating the write alone would
+        never end, and would keep the breaker open for new requests.
         """
         row = await self._store.read(write.key)
         if isinstance(row, kinds.Failure) or row.version <= write.if_version:
-            return lost
+            return failure
         if row.value != write.value:
             return tables.Conflict((row,))
-        self._store.confirm()
+        self._store.confirm_write()
         return tables.Written((row.version,))
 
     async def _fence(self, key, record):
-        gone = {**record, "state": decide.State.NOT_RUN}
-        for pause in pauses(LONGEST_LATER_S):
+        not_run = {**record, "state": decide.State.NOT_RUN}
+        for pause in backoff_pauses(MAX_BACKGROUND_PAUSE_S):
             row = await self._store.read(key)
             if not isinstance(row, kinds.Failure):
                 version = decide.fence_version(row, record["attempt"])
                 if version is None:
                     return
-                write = tables.Write(key, gone, version)
+                write = tables.Write(key, not_run, version)
                 result = await self._store.write(write)
-                self._trace.write("fence", write, result)
+                self._trace.log_write("fence", write, result)
                 if isinstance(result, tables.Written):
                     return
             await asyncio.sleep(pause)
 
-    def _go_on(self, coro):
+    def _spawn_write(self, coro):
         task = self._spawn(coro, name="settle record")
-        self._later.add(task)
-        task.add_done_callback(self._later.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         return task
--- a/sycamoreshed/idempotency/store.py
+++ b/sycamoreshed/idempotency/store.py
@@ -1,4 +1,4 @@
-"""The table service as records use it: behind a breaker."""
+"""Client of the table service for records, behind circuit breakers."""
 
 import asyncio
 import random
@@ -13,64 +13,70 @@
 __all__ = ["Store"]
 
 PROBE_KEY = "once-probe"
-PROBE_S = 1.0
-# Written first, and hardly ever with an effect: the store that finds
-# another version there takes writes.
-NO_VERSION = 1
+PROBE_INTERVAL_S = 1.0
+# A probe first writes conditionally on this version, which the probe row
+# almost never has: a store that reports the conflict accepts writes.
+UNUSED_VERSION = 1
 
 
 class Store:
-    """Reads and writes single rows, or refuses at once.
+    """Reads and writes rows; fails at once while a breaker is open.
 
     Parameters
     ----------
     table : Table
     breaker : Breaker
-        Stands before writes; counts all calls that fail.
+        Guards writes; counts all calls that fail.
     calls : prometheus_client.Counter
         With the label ``result``: ``ok``, ``failed`` or ``refused``.
     spawn : callable
         Runs a coroutine in the background.
-    group : int
-        Most writes in one transaction.
+    max_group_size : int
+        Largest number of writes in one transaction.
 
     Notes
     -----
-    Reads have a breaker of their own, which counts reads only: a store
-    whose answers to writes are lost still tells what became of them.
+    Reads have a separate breaker, which counts only the failures of reads:
+    a store whose answers to writes are lost can still be read to find out
+    whether they took effect.
     """
 
-    def __init__(self, *, table, breaker, calls, spawn, group):
+    def __init__(self, *, table, breaker, calls, spawn, max_group_size):
         self._table = table
         self._writes = breaker
-        self._reads = breakers.Breaker(failures=breaker.failures)
+        self._reads = breakers.Breaker(
+            failure_threshold=breaker.failure_threshold
+        )
         self._calls = calls
         self._spawn = spawn
         self._probing = False
-        self._groups = groups.Groups(
-            write=self._write, spawn=spawn, most=group
+        self._groups = groups.WriteGroups(
+            write=self._write, spawn=spawn, max_size=max_group_size
         )
 
     @property
-    def away(self):
-        """Whether writes are refused: the store is down, slow or unheard."""
+    def is_unavailable(self):
+        """Whether writes are rejected.
+
+        The store is down or slow, or its answers are lost.
+        """
         return self._writes.is_open
 
     @property
-    def readable(self):
-        """Whether reads are tried."""
+    def is_readable(self):
+        """Whether reads are attempted."""
         return not self._reads.is_open
 
     @property
     def retry_after(self):
-        """Seconds after which a refused caller may come again."""
-        return 2 * PROBE_S
+        """Seconds after which a rejected caller may retry."""
+        return 2 * PROBE_INTERVAL_S
 
-    def refusal(self):
-        """Return a failure if writes are refused just now, or None."""
-        return self._refused() if self.away else None
+    def check_writable(self):
+        """Return a failure if writes are rejected at present, or None."""
+        return self._reject() if self.is_unavailable else None
 
-    def _refused(self):
+    def _reject(self):
         self._calls.labels("refused").inc()
         return kinds.Failure(
             kinds.Kind.STORE_AWAY,
@@ -80,80 +86,84 @@
 
     async def read(self, key):
         """Read one row; see `Table.read`."""
-        if not self.readable:
-            return self._refused()
-        return await self._count(self._table.read(key))
+        if not self.is_readable:
+            return self._reject()
+        return await self._track_call(self._table.read(key))
 
     async def scan(self, prefix, *, after, limit):
         """Read rows in order of key; see `Table.scan`."""
-        if not self.readable:
-            return self._refused()
-        return await self._count(
+        if not self.is_readable:
+            return self._reject()
+        return await self._track_call(
             self._table.scan(prefix, after=after, limit=limit)
         )
 
     async def write(self, write):
-        """Write one row, perhaps in one transaction with others.
+        """Write one row, possibly in one transaction with other writes.
 
         Notes
         -----
-        A failure of the breaker itself has ``sent`` false.
+        A failure caused by the open breaker has ``sent`` false.
         """
-        return self.refusal() or await self._groups.write(write)
+        return self.check_writable() or await self._groups.write(write)
 
     async def write_all(self, *writes):
-        """Write rows, all or none; see `Table.write`."""
-        return self.refusal() or await self._write(*writes)
+        """Write rows atomically; see `Table.write`."""
+        return self.check_writable() or await self._write(*writes)
 
-    def confirm(self):
-        """Take in that a write whose answer was lost has taken effect."""
-        self._report(True, is_write=True)
+    def confirm_write(self):
+        """Count a write as successful whose answer was lost."""
+        self._update_breakers(True, is_write=True)
 
     async def _write(self, *writes):
-        return await self._count(self._table.write(*writes), is_write=True)
+        return await self._track_call(
+            self._table.write(*writes), is_write=True
+        )
 
-    async def _count(self, call, *, is_write=False):
+    async def _track_call(self, call, *, is_write=False):
         result = await call
         ok = not isinstance(result, kinds.Failure)
         self._calls.labels("ok" if ok else "failed").inc()
-        self._report(ok, is_write=is_write)
+        self._update_breakers(ok, is_write=is_write)
         return result
 
-    def _report(self, ok, *, is_write):
-        was_away = self.away
+    def _update_breakers(self, ok, *, is_write):
+        was_unavailable = self.is_unavailable
         if not ok or is_write:
             self._writes.report(ok=ok)
         if ok or not is_write:
             self._reads.report(ok=ok)
-        if self.away != was_away:
-            logger.bind(away=self.away).warning("store breaker")
-        if self.away and not self._probing:
+        if self.is_unavailable != was_unavailable:
+            logger.bind(away=self.is_unavailable).warning("store breaker")
+        if self.is_unavailable and not self._probing:
             self._probing = True
             self._spawn(self._probe(), name="probe store")
 
     async def _probe(self):
-        # A request that tried for the others would wait for a timeout;
-        # this way none does while the store is away.
-        while self.away:
-            await asyncio.sleep(random.uniform(PROBE_S / 2, PROBE_S * 1.5))
-            if await self._answers():
-                self.confirm()
+        # With probes in the background, no request has to wait for a
+        # timeout to find out whether the store is available again.
+        while self.is_unavailable:
+            await asyncio.sleep(
+                random.uniform(PROBE_INTERVAL_S / 2, PROBE_INTERVAL_S * 1.5)
+            )
+            if await self._probe_succeeds():
+                self.confirm_write()
         self._probing = False
 
-    async def _answers(self):
-        write = tables.Write(PROBE_KEY, {}, NO_VERSION)
+    async def _probe_succeeds(self):
+        write = tables.Write(PROBE_KEY, {}, UNUSED_VERSION)
         try:
             result = await self._table.write(write)
         except Exception as err:
-            # Were the probe to end here, the breaker would stay open.
+            # If the probe task ended here, the breaker would stay open.
             logger.opt(exception=err).error("probe of the store failed")
             return False
         if isinstance(result, kinds.Failure):
-            return result.sent and await self._takes_effect()
+            return result.sent and await self._unanswered_write_takes_effect()
         return True
 
-    async def _takes_effect(self):
-        """Tell whether a write changes its row although it is unanswered."""
+    async def _unanswered_write_takes_effect(self):
+        """Return whether a write with a lost answer still changes its row."""
         before = await self._table.read(PROBE_KEY)
         if isinstance(before, kinds.Failure):
             return False
--- a/sycamoreshed/idempotency/sweep.py
+++ b/sycamoreshed/idempotency/sweep.py
@@ -1,4 +1,4 @@
-"""Deletes records whose time of keeping is over."""
+"""Deletion of expired records in the background."""
 
 import asyncio
 import random
@@ -12,22 +12,22 @@
 from sycamoreshed.idempotency import keys
 from sycamoreshed.kernel import kernel
 
-__all__ = ["Sweeper", "due", "page_due"]
+__all__ = ["Sweeper", "expired_rows", "is_page_due"]
 
-CURSOR = "once-sweep"
-PAGE = 500
-# Each instance looks this often whether a page is due; at 410 instances
-# that is 7 reads a second.
-LOOK_S = 60.0
-# Seconds between two pages, whoever sweeps them.
-STEP_S = 2.0
-# A cursor dated further ahead than this was written by a clock that is
-# wrong, and would stop the sweep until then.
-AHEAD_S = 60.0
+CURSOR_KEY = "once-sweep"
+PAGE_ROWS = 500
+# Interval at which each instance checks whether a page is due; with 410
+# instances that is 7 reads a second.
+CHECK_INTERVAL_S = 60.0
+# Seconds between two pages, over all instances.
+PAGE_INTERVAL_S = 2.0
+# A cursor dated further in the future was written by a wrong clock, and
+# would stop sweeping until that time.
+MAX_CURSOR_AHEAD_S = 60.0
 
 
-def due(rows, now, ttl_s):
-    """Return the rows that may be deleted.
+def expired_rows(rows, now, ttl_s):
+    """Return the rows of expired records.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
     now : float
         Wall-clock seconds.
     ttl_s : float
-        How long records are kept.
+        Seconds for which records are kept.
 
     Returns
     -------
@@ -43,8 +43,8 @@
 
     Notes
     -----
-    A record that says ``begun`` is never deleted.  Its instance may be
-    paused before sending; with the record gone, a request with the same
+    A record in state ``begun`` is never deleted.  Its instance may be
+    paused before sending; without the record, a request with the same
     key would run, and then the paused one too.
 
     Examples
@@ -54,7 +54,7 @@
     ...     tables.Row("b", {"state": "begun", "at": 0.0}, 2),
     ...     tables.Row("c", {"state": "not-run", "at": 95.0}, 3),
     ... ]
-    >>> [row.key for row in due(rows, 100.0, 10.0)]
+    >>> [row.key for row in expired_rows(rows, 100.0, 10.0)]
     ['a']
     """
     return [
@@ -65,78 +65,83 @@
     ]
 
 
-def page_due(row, now):
+def is_page_due(row, now):
     """Return whether the next page may be swept.
 
     Parameters
     ----------
     row : Row
-        Of the cursor.
+        The cursor row.
     now : float
         Wall-clock seconds.
 
     Notes
     -----
-    Two that sweep at once do no harm but cost: each delete asks for the
-    version that was seen.  So no lease is needed.
+    Two instances that sweep at the same time only waste work, since each
+    delete is conditional on the version that was read.  So no lease is
+    needed.
 
     Examples
     --------
     >>> row = tables.Row("c", {"after": "", "at": 50.0}, 1)
-    >>> [page_due(row, now) for now in (51.0, 53.0, -20.0)]
+    >>> [is_page_due(row, now) for now in (51.0, 53.0, -20.0)]
     [False, True, True]
     """
     if row.value is None:
         return True
-    passed = now - row.value["at"]
-    return passed >= STEP_S or passed < -AHEAD_S
+    elapsed_s = now - row.value["at"]
+    return elapsed_s >= PAGE_INTERVAL_S or elapsed_s < -MAX_CURSOR_AHEAD_S
 
 
 class Sweeper:
-    """Sweeps the next page, now and then, if no other instance has.
+    """Sweeps one page at a time, unless another instance has just done so.
 
     Parameters
     ----------
     store : Store
     ttl_s : float
-        How long records are kept, seconds.
-    wall : callable, optional
+        Seconds for which records are kept.
+    wall_clock : callable, optional
         Returns wall-clock seconds.
     """
 
-    def __init__(self, *, store, ttl_s, wall=time.time):
+    def __init__(self, *, store, ttl_s, wall_clock=time.time):
         self._store = store
         self._ttl_s = ttl_s
-        self._wall = wall
+        self._wall_clock = wall_clock
 
     async def run(self):
         """Sweep until cancelled."""
         while True:
-            # Spread, so that instances started together do not look at
-            # the cursor together.
-            await asyncio.sleep(random.uniform(LOOK_S / 2, LOOK_S * 1.5))
-            await self.step()
-
-    async def step(self):
-        """Sweep a page if one is due; return whether it was."""
-        row = await self._store.read(CURSOR)
-        now = self._wall()
+            # Jitter, so that instances started together do not read the
+            # cursor at the same time.
+            await asyncio.sleep(
+                random.uniform(CHECK_INTERVAL_S / 2, CHECK_INTERVAL_S * 1.5)
+            )
+            await self.sweep_page()
+
+    async def sweep_page(self):
+        """Sweep a page if one is due; return whether it was swept."""
+        row = await self._store.read(CURSOR_KEY)
+        now = self._wall_clock()
         if isinstance(row, kinds.Failure):
             return False
-        if not page_due(row, now):
+        if not is_page_due(row, now):
             return False
         after = row.value["after"] if row.value else ""
-        rows = await self._store.scan(keys.PREFIX, after=after, limit=PAGE)
+        rows = await self._store.scan(
+            keys.PREFIX, after=after, limit=PAGE_ROWS
+        )
         if isinstance(rows, kinds.Failure):
             return False
-        more = rows[-1].key if len(rows) == PAGE else ""
-        cursor = {"after": more, "at": now}
+        next_after = rows[-1].key if len(rows) == PAGE_ROWS else ""
+        cursor = {"after": next_after, "at": now}
         result = await self._store.write(
-            tables.Write(CURSOR, cursor, row.version)
+            tables.Write(CURSOR_KEY, cursor, row.version)
         )
         if not isinstance(result, tables.Written):
             return False
-        await self._delete(due(rows, now, self._ttl_s))
+        await self._delete(expired_rows(rows, now, self._ttl_s))
         return True
 
     async def _delete(self, rows):
@@ -148,7 +153,7 @@
                 logger.bind(records=len(rows)).info("swept")
                 return
             if isinstance(result, kinds.Failure):
-                # The next round through the records finds them again.
+                # The next pass over the records finds these rows again.
                 return
             stale = {row.key for row in result.rows}
             rows = [row for row in rows if row.key not in stale]
@@ -159,7 +164,7 @@
     """Sweep records in the background."""
     part = Sweeper(
         store=core.part("records").store,
-        ttl_s=core.settings.record_ttl_s + keys.SLACK_S,
+        ttl_s=core.settings.record_ttl_s + keys.CLOCK_TOLERANCE_S,
     )
     task = core.spawn(part.run(), name="sweep records")
     yield part
--- a/sycamoreshed/idempotency/tests/test_decide.py
+++ b/sycamoreshed/idempotency/tests/test_decide.py
@@ -1,4 +1,4 @@
-"""Rows of the tables in DESIGN.md, "At most once"."""
+"""Decision tables of at-most-once execution (DESIGN.md, "At most once")."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from sycamoreshed.idempotency import decide
 
 Step = decide.Step
-End = decide.End
+RunEnd = decide.RunEnd
 
 
 def failure(sent):
@@ -72,24 +72,25 @@
     ],
 )
 def test_fence_version(found, version):
-    """A write whose answer was lost takes effect after its attempt ended.
+    """A write with a lost answer takes effect after its attempt has ended.
 
-    Without the fence the member's key would be stuck at "unknown".
+    Without the fence, retries with the key would receive "unknown" for
+    ever.
     """
     assert decide.fence_version(found, "a") == version
 
 
 @pytest.mark.parametrize(
-    ("result", "ran", "end"),
+    ("result", "has_output", "end"),
     [
-        (None, True, End.FINISH),
-        (failure(False), False, End.RELEASE),
-        (failure(True), False, End.LEAVE),
-        (failure(True), True, End.FINISH),
+        (None, True, RunEnd.FINISH),
+        (failure(False), False, RunEnd.RELEASE),
+        (failure(True), False, RunEnd.LEAVE),
+        (failure(True), True, RunEnd.FINISH),
     ],
 )
-def test_after_run(result, ran, end):
-    assert decide.after_run(result, ran) is end
+def test_after_run(result, has_output, end):
+    assert decide.after_run(result, has_output) is end
 
 
 @pytest.mark.parametrize(
@@ -124,18 +125,20 @@
         ([{"state": "never"}, failure(False), RAN], RAN),
     ],
 )
-def test_found(answers, expected):
-    """An endpoint says "never" of a call that is still on its way to it.
+def test_find_ran_answer(answers, expected):
+    """An endpoint reports "never" for a call that is still in flight.
 
-    Told as "not run", the vote would count after the member was told it
-    had not.
+    If that were reported as "not run", the vote would be counted after
+    the member was told that it had not been.
     """
-    assert decide.found(answers) == expected
+    assert decide.find_ran_answer(answers) == expected
 
 
 @pytest.mark.parametrize(
-    ("now", "away", "ends"),
+    ("now", "is_store_unavailable", "expected"),
     [(1.0, False, False), (9.99, False, True), (1.0, True, True)],
 )
-def test_gives_up(now, away, ends):
-    assert decide.gives_up(now, 10.0, away) is ends
+def test_is_claim_abandoned(now, is_store_unavailable, expected):
+    assert (
+        decide.is_claim_abandoned(now, 10.0, is_store_unavailable) is expected
+    )
--- a/sycamoreshed/idempotency/tests/test_explore.py
+++ b/sycamoreshed/idempotency/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of two attempts at one key, and its faults."""
+"""Exhaustive exploration of two attempts at one key, also with faults."""
 
 import pytest
 
@@ -14,7 +14,7 @@
         "after_read",
         "after_run",
         "after_write",
-        "completed",
+        "row_after_completion",
         "fence_version",
     )
 }
@@ -32,91 +32,91 @@
     return Step.SEND if absent else step
 
 
-def let_records_lapse(row, attempt, body):
+def expire_begun_records(row, attempt, body):
     step = GOOD["after_read"](row, attempt, body)
     return Step.CLAIM_AGAIN if step is Step.WAIT else step
 
 
-def fence_off_others(row, attempt):
+def fence_off_other_attempts(row, attempt):
     if row.value and row.value["state"] == decide.State.BEGUN:
         return row.version
     return GOOD["fence_version"](row, attempt)
 
 
-def leave_no_fence(row, attempt):
+def write_no_fence(row, attempt):
     return None
 
 
-def leave_others_not_run(row, attempt):
+def keep_not_run_of_others(row, attempt):
     if row.value and row.value["state"] == decide.State.NOT_RUN:
         return None
     return GOOD["fence_version"](row, attempt)
 
 
-def release_what_was_sent(failure, ran):
-    end = GOOD["after_run"](failure, ran)
-    return decide.End.RELEASE if end is decide.End.LEAVE else end
+def release_after_send(failure, has_output):
+    end = GOOD["after_run"](failure, has_output)
+    return decide.RunEnd.RELEASE if end is decide.RunEnd.LEAVE else end
 
 
-def take_never_for_an_end(answers):
+def accept_never_as_answer(answers):
     return next(a for a in answers if not isinstance(a, kinds.Failure))
 
 
-def name_whom_was_read(result, write):
+def assume_written(result, write):
     return tables.Row(write.key, write.value, write.if_version)
 
 
-def name_whom_was_read_unless_done(result, write):
+def assume_written_unless_done(result, write):
     if isinstance(result, tables.Conflict):
         row = result.rows[0]
         if row.value and row.value["state"] == decide.State.DONE:
             return row
         return tables.Row(write.key, write.value, write.if_version)
-    return GOOD["completed"](result, write)
+    return GOOD["row_after_completion"](result, write)
 
 
-def name_whom_was_read_when_lost(result, write):
+def assume_written_when_lost(result, write):
     if isinstance(result, kinds.Failure):
         return tables.Row(write.key, write.value, write.if_version)
-    return GOOD["completed"](result, write)
+    return GOOD["row_after_completion"](result, write)
 
 
 TWICE = "runs more than once"
 BROKEN = "told not-run, and runs"
 THIRD = "the record lets another attempt run"
 UNRUN = "told complete, and has not run"
-ORPHAN = "left begun although told not-run"
+LEFT_BEGUN = "left begun although told not-run"
 FAULTS = [
     ("after_write", send_after_lost_answer, THIRD),
     ("after_read", send_when_absent, THIRD),
-    ("after_read", let_records_lapse, TWICE),
-    ("fence_version", fence_off_others, THIRD),
-    ("fence_version", leave_no_fence, ORPHAN),
-    ("fence_version", leave_others_not_run, ORPHAN),
-    ("after_run", release_what_was_sent, BROKEN),
-    ("completed", name_whom_was_read, UNRUN),
-    ("completed", name_whom_was_read_unless_done, UNRUN),
-    ("completed", name_whom_was_read_when_lost, UNRUN),
-    ("found", take_never_for_an_end, UNRUN),
+    ("after_read", expire_begun_records, TWICE),
+    ("fence_version", fence_off_other_attempts, THIRD),
+    ("fence_version", write_no_fence, LEFT_BEGUN),
+    ("fence_version", keep_not_run_of_others, LEFT_BEGUN),
+    ("after_run", release_after_send, BROKEN),
+    ("row_after_completion", assume_written, UNRUN),
+    ("row_after_completion", assume_written_unless_done, UNRUN),
+    ("row_after_completion", assume_written_when_lost, UNRUN),
+    ("find_ran_answer", accept_never_as_answer, UNRUN),
 ]
 
 
-def test_no_order_of_events_breaks_a_promise():
-    """Writes, answers, calls are lost, late or refused; instances die.
+def test_no_order_of_events_violates_an_invariant():
+    """Writes, answers and calls are lost, late or refused; instances die.
 
-    A member would see a vote count twice, or one that counts although it
-    was told as not run.
+    A vote would be counted twice, or counted although it was reported as
+    "not run".
     """
     report = exploration.explore()
     print(f"{report.states} states; told at the end:")
-    for told, count in sorted(report.ends.items()):
-        print(f"  {' + '.join(told)}: {count}")
+    for outcomes, count in sorted(report.end_counts.items()):
+        print(f"  {' + '.join(outcomes)}: {count}")
     assert report.violation is None, report.path
     assert report.states > 10_000
-    for told in ("complete", "not-run", "unknown"):
-        assert any(told in end for end in report.ends)
-    assert ("complete", "complete") in report.ends
-    assert ("complete", "not-run") in report.ends
+    for outcome in ("complete", "not-run", "unknown"):
+        assert any(outcome in end for end in report.end_counts)
+    assert ("complete", "complete") in report.end_counts
+    assert ("complete", "not-run") in report.end_counts
 
 
 @pytest.mark.parametrize(
@@ -124,10 +124,10 @@
     FAULTS,
     ids=[fault.__name__ for _, fault, _ in FAULTS],
 )
-def test_a_fault_put_in_is_found(monkeypatch, name, fault, expected):
-    """Each fault is one that a change to the deciding functions may make.
+def test_injected_fault_is_detected(monkeypatch, name, fault, expected):
+    """Each fault is one that a change of the decisions could introduce.
 
-    Were it not found, the exploration would prove nothing.
+    If it went undetected, the exploration would prove nothing.
     """
     monkeypatch.setattr(decide, name, fault)
     report = exploration.explore()
--- a/sycamoreshed/idempotency/tests/test_groups.py
+++ b/sycamoreshed/idempotency/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Grouping of writes, against a table that answers when told."""
+"""Group commit, against a table whose answers the test releases."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class SlowTable:
-    """Keeps each transaction until the test answers it."""
+    """Holds each transaction until the test answers it."""
 
     def __init__(self):
         self.calls = asyncio.Queue()
@@ -21,7 +21,7 @@
         return await answer
 
 
-def begin(part, *keys):
+def start_writes(part, *keys):
     return [
         asyncio.ensure_future(part.write(tables.Write(key, number, 0)))
         for number, key in enumerate(keys)
@@ -32,18 +32,18 @@
     return asyncio.ensure_future(coro)
 
 
-async def test_a_conflict_is_taken_out_and_the_rest_sent_again():
-    """Two members use one key; others vote at the same moment.
+async def test_conflicting_write_is_removed_and_the_others_resent():
+    """Two members use one key while others vote at the same moment.
 
-    The store refuses the whole transaction, and the others' votes would
-    hear of a conflict that is not theirs.
+    The store rejects the whole transaction, so the other votes would fail
+    with a conflict of another key.
     """
     table = SlowTable()
-    part = groups.Groups(write=table.write, spawn=spawn, most=8)
-    first = begin(part, "a")
+    part = groups.WriteGroups(write=table.write, spawn=spawn, max_size=8)
+    first = start_writes(part, "a")
     writes, answer = await table.calls.get()
     assert [write.key for write in writes] == ["a"]
-    later = begin(part, "b", "c", "b")
+    later = start_writes(part, "b", "c", "b")
     await asyncio.sleep(0)
     answer.set_result(tables.Written((1,)))
     writes, answer = await table.calls.get()
@@ -62,30 +62,30 @@
     ]
 
 
-async def test_a_lost_answer_is_lost_to_each():
-    """The answer to a transaction is lost; each request has to read back."""
+async def test_lost_answer_is_reported_to_each_write():
+    """The answer to a transaction is lost; each request must read its row."""
     table = SlowTable()
-    part = groups.Groups(write=table.write, spawn=spawn, most=2)
-    tasks = begin(part, "a", "b", "c")
+    part = groups.WriteGroups(write=table.write, spawn=spawn, max_size=2)
+    tasks = start_writes(part, "a", "b", "c")
     for _ in range(2):
         _, answer = await table.calls.get()
         answer.set_result(LOST)
     assert await asyncio.gather(*tasks) == [LOST] * 3
 
 
-async def test_an_answer_nobody_foresaw_ends_the_wait():
-    """The store answers with something the adapter does not know.
+async def test_unexpected_answer_ends_the_wait():
+    """The adapter raises on an unexpected answer of the store.
 
-    All requests whose writes were in the group would hang.
+    All requests with a write in the group would hang.
     """
     table = SlowTable()
-    part = groups.Groups(write=table.write, spawn=spawn, most=8)
-    tasks = begin(part, "a")
+    part = groups.WriteGroups(write=table.write, spawn=spawn, max_size=8)
+    tasks = start_writes(part, "a")
     _, answer = await table.calls.get()
     answer.set_exception(KeyError("versions"))
     (result,) = await asyncio.gather(*tasks)
     assert result.sent
-    tasks = begin(part, "b")
+    tasks = start_writes(part, "b")
     _, answer = await table.calls.get()
     answer.set_result(tables.Written((1,)))
     assert await asyncio.gather(*tasks) == [tables.Written((1,))]
--- a/sycamoreshed/idempotency/tests/test_rejections.py
+++ b/sycamoreshed/idempotency/tests/test_rejections.py
@@ -1,4 +1,4 @@
-"""What refusals say of a key, by what is known of it."""
+"""Outcomes of rejections, by what is recorded about the key."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 from sycamoreshed.pipeline import requests
 from testkit import builders
 
-AWAY = kinds.Failure(kinds.Kind.STORE_AWAY, "away")
+UNAVAILABLE = kinds.Failure(kinds.Kind.STORE_AWAY, "away")
 NEVER = {"state": "never"}
 RAN = {"state": "ran", "output": 1}
 ABSENT = tables.Row("k", None, 0)
@@ -21,20 +21,20 @@
 UNKNOWN, NOT_RUN = kinds.Outcome.OUTCOME_UNKNOWN, kinds.Outcome.NOT_RUN
 
 
-class Asker:
-    """Gives the answers of endpoints; counts how often it was asked."""
+class FakeLookups:
+    """Returns fixed answers of endpoints; counts look-ups."""
 
     def __init__(self, answers):
         self._answers = answers
-        self.asked = 0
+        self.count = 0
 
-    async def ask_for_refusal(self, _config, _service, _key):
-        self.asked += 1
+    async def look_up_for_rejection(self, _config, _service, _key):
+        self.count += 1
         return self._answers
 
 
 def make(*, repeat=None, is_seen=False, answers=()):
-    """Return a refuser, its asker, and a request with a key."""
+    """Return a rejecter, its look-ups, and a request with a key."""
     request = requests.Request(
         id="r",
         team="gaucho",
@@ -45,13 +45,13 @@
         key="k",
         repeat=repeat,
     )
-    sightings = prior_runs.Sightings()
+    prior = prior_runs.PriorRuns()
     if is_seen:
-        sightings.add(keys.names_of(request).row)
-    asker = Asker(list(answers))
+        prior.add(keys.key_names(request).record_key)
+    lookups = FakeLookups(list(answers))
     log = trace.Trace(log=logs.DecisionLog(), clock=lambda: 0.0)
-    part = rejections.Refuser(sightings=sightings, asker=asker, trace=log)
-    return part, asker, request
+    part = rejections.Rejecter(prior_runs=prior, lookups=lookups, trace=log)
+    return part, lookups, request
 
 
 @pytest.mark.parametrize(
@@ -63,12 +63,12 @@
         (False, True, UNKNOWN),
     ],
 )
-def test_refusal_for_load(repeat, is_seen, outcome):
-    """A refusal that looked at nothing must not deny a key that ran."""
-    part, asker, request = make(repeat=repeat, is_seen=is_seen)
-    told = part.refuse_at_once(request, AWAY)
-    assert kinds.answer_for(told).outcome is outcome
-    assert asker.asked == 0
+def test_rejection_under_overload(repeat, is_seen, outcome):
+    """A rejection without any read must not report a key as not run."""
+    part, lookups, request = make(repeat=repeat, is_seen=is_seen)
+    rejection = part.reject_unread(request, UNAVAILABLE)
+    assert kinds.answer_for(rejection).outcome is outcome
+    assert lookups.count == 0
 
 
 @pytest.mark.parametrize(
@@ -79,23 +79,25 @@
         (BEGUN, None, [NEVER], UNKNOWN),
         (BEGUN, False, [NEVER], UNKNOWN),
         (ABSENT, True, [NEVER], UNKNOWN),
-        (AWAY, None, [NEVER, NEVER], NOT_RUN),
-        (AWAY, None, [NEVER, RAN], UNKNOWN),
-        (AWAY, None, [NEVER, AWAY], UNKNOWN),
-        (AWAY, None, [NEVER, None], UNKNOWN),
-        (AWAY, None, [], UNKNOWN),
-        (AWAY, False, [], NOT_RUN),
+        (UNAVAILABLE, None, [NEVER, NEVER], NOT_RUN),
+        (UNAVAILABLE, None, [NEVER, RAN], UNKNOWN),
+        (UNAVAILABLE, None, [NEVER, UNAVAILABLE], UNKNOWN),
+        (UNAVAILABLE, None, [NEVER, None], UNKNOWN),
+        (UNAVAILABLE, None, [], UNKNOWN),
+        (UNAVAILABLE, False, [], NOT_RUN),
     ],
 )
-async def test_refusal_by_a_store_that_is_away(row, repeat, answers, outcome):
-    """A key that may have run must not be told as not run unread."""
+async def test_rejection_while_store_is_unavailable(
+    row, repeat, answers, outcome
+):
+    """A key that may have run must not be reported as "not run" unread."""
     part, _, request = make(repeat=repeat, answers=answers)
-    told = await part.refuse_by_record(request, AWAY, row)
-    assert kinds.answer_for(told).outcome is outcome
+    rejection = await part.reject_by_record(request, UNAVAILABLE, row)
+    assert kinds.answer_for(rejection).outcome is outcome
 
 
 @pytest.mark.parametrize(
-    ("earlier_may_have_run", "answers", "outcome", "asked"),
+    ("earlier_may_have_run", "answers", "outcome", "lookup_count"),
     [
         (False, [RAN], NOT_RUN, 0),
         (True, [RAN], UNKNOWN, 1),
@@ -103,20 +105,20 @@
         (True, [], UNKNOWN, 1),
     ],
 )
-async def test_refusal_of_an_attempt(
-    earlier_may_have_run, answers, outcome, asked
+async def test_rejection_of_an_attempt(
+    earlier_may_have_run, answers, outcome, lookup_count
 ):
-    """An attempt that could not read its record must not deny the key."""
-    part, asker, request = make(answers=answers)
-    failure = AWAY._replace(earlier_may_have_run=earlier_may_have_run)
-    told = await part.refuse_after_claim(request, failure)
-    assert kinds.answer_for(told).outcome is outcome
-    assert asker.asked == asked
+    """An attempt that could not read its record must not report "not run"."""
+    part, lookups, request = make(answers=answers)
+    failure = UNAVAILABLE._replace(earlier_may_have_run=earlier_may_have_run)
+    rejection = await part.reject_after_claim(request, failure)
+    assert kinds.answer_for(rejection).outcome is outcome
+    assert lookups.count == lookup_count
 
 
-def test_forgotten_keys_are_the_oldest():
-    """A key seen lately must not be forgotten for one seen long ago."""
-    sightings = prior_runs.Sightings(most=2)
+def test_oldest_keys_are_dropped_first():
+    """A recently added key must not be dropped before an older one."""
+    prior = prior_runs.PriorRuns(max_keys=2)
     for key in ("a", "b", "a", "c"):
-        sightings.add(key)
-    assert [sightings.has(key) for key in "abc"] == [True, False, True]
+        prior.add(key)
+    assert [prior.has_other(key) for key in "abc"] == [True, False, True]
--- a/sycamoreshed/idempotency/tests/test_sending.py
+++ b/sycamoreshed/idempotency/tests/test_sending.py
@@ -1,4 +1,4 @@
-"""What the HTTP library does with a call that may not be repeated."""
+"""Behaviour of the HTTP library on calls that must not be repeated."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Endpoint:
-    """Gives the next of its answers to each request; None breaks off."""
+    """Sends its answers in order; None closes the connection instead."""
 
     def __init__(self, answers):
         self._answers = list(answers)
@@ -44,11 +44,11 @@
     return result, part.paths
 
 
-async def test_broken_kept_alive_connection_is_not_sent_on_again():
-    """An endpoint takes a call on a connection used before, and dies.
+async def test_call_on_broken_keep_alive_connection_is_not_resent():
+    """An endpoint receives a call on a reused connection and then dies.
 
-    The library sends some methods again by itself then; a vote would
-    count twice.
+    The library retries some methods by itself in that case; a vote would
+    be counted twice.
     """
     result, paths = await post([OK, None, OK], 2)
     assert paths == [b"/call", b"/call"]
@@ -59,7 +59,7 @@
 async def test_redirects_are_not_followed(status):
     """An endpoint counts a vote and answers with a redirect.
 
-    Followed, the vote would be cast again at the other place.
+    If it were followed, the vote would be cast again at its target.
     """
     result, paths = await post([MOVED % status, OK], 1)
     assert paths == [b"/call"]
--- a/sycamoreshed/idempotency/tests/test_settling.py
+++ b/sycamoreshed/idempotency/tests/test_settling.py
@@ -1,4 +1,4 @@
-"""Settling records at a store that loses the answers to writes."""
+"""Settling of records while the store loses the answers to writes."""
 
 import asyncio
 
@@ -10,12 +10,12 @@
 
 LOST = kinds.Failure(kinds.Kind.STORE_AWAY, "", sent=True)
 RECORD = {"state": "begun", "attempt": "a", "body": "x"}
-DONE = settling.done(RECORD, "{}", 200)
-OTHERS = {**RECORD, "attempt": "b"}
+DONE = settling.done_record(RECORD, "{}", 200)
+OTHER_ATTEMPT = {**RECORD, "attempt": "b"}
 
 
 class Store:
-    """Loses the answers to writes, and gives rows one after another."""
+    """Loses the answers to writes; returns the given rows one by one."""
 
     def __init__(self, rows):
         self._rows = list(rows)
@@ -29,7 +29,7 @@
     async def read(self, _key):
         return self._rows.pop(0)
 
-    def confirm(self):
+    def confirm_write(self):
         self.confirmed += 1
 
 
@@ -45,14 +45,14 @@
         ([row(RECORD, 7), row(DONE, 8)], 2, 1),
         ([row(None, 0), row(DONE, 8)], 2, 1),
         ([row(RECORD, 8), row(DONE, 9)], 2, 1),
-        ([row(OTHERS, 8)], 1, 0),
+        ([row(OTHER_ATTEMPT, 8)], 1, 0),
     ],
     ids=["done", "unread", "no effect", "old row", "claimed anew", "others'"],
 )
-async def test_a_record_is_settled_by_what_is_read(rows, writes, confirmed):
-    """An answer must not stay unrecorded for a row that is out of date.
+async def test_record_is_settled_after_reading_it(rows, writes, confirmed):
+    """An answer must not stay unrecorded because of a stale row.
 
-    Nor may it be written again without end where it stands already.
+    Nor may it be written again without end if it is already recorded.
     """
     store = Store(rows)
     part = settling.Settler(
@@ -62,10 +62,10 @@
     )
     claim = settling.Claim("k", RECORD, 7)
     async with asyncio.timeout(30):
-        told = await part.finish(claim, "{}", 200, deadline=0.0)
+        replay = await part.finish(claim, "{}", 200, deadline=0.0)
         await part.flush()
-    assert told == settling.Replay("{}", 200)
+    assert replay == settling.Replay("{}", 200)
     assert part.pending == 0
-    assert part.held("k") is None
+    assert part.unstored_record("k") is None
     assert len(store.writes) == writes
     assert store.confirmed == confirmed
--- a/sycamoreshed/idempotency/tests/test_store.py
+++ b/sycamoreshed/idempotency/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store behind its breaker, against a table that can be away."""
+"""The store behind its breakers, against a table that can fail."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class SwitchedTable:
-    """Answers as told; notes the keys it was asked for."""
+    """Returns a settable answer; records the keys of its calls."""
 
     def __init__(self):
         self.answer = LOST
@@ -34,49 +34,49 @@
     registry = prometheus_client.CollectorRegistry()
     return stores.Store(
         table=table,
-        breaker=breaker.Breaker(failures=2),
+        breaker=breaker.Breaker(failure_threshold=2),
         calls=prometheus_client.Counter(
             "calls", "", ["result"], registry=registry
         ),
         spawn=lambda coro, name: asyncio.ensure_future(coro),
-        group=1,
+        max_group_size=1,
     )
 
 
-async def until(func):
+async def wait_until(func):
     async with asyncio.timeout(30):
         while not func():
             await asyncio.sleep(0.001)
 
 
-async def test_requests_do_not_try_a_store_that_is_away(monkeypatch):
-    """The store is down; it comes back with an answer nobody foresaw first.
+async def test_requests_do_not_call_an_unavailable_store(monkeypatch):
+    """The store is down, and first recovers with an unexpected answer.
 
-    Ballots are refused without asking it, until it takes writes again.
+    Ballots are rejected without a call until it accepts writes again.
     """
-    monkeypatch.setattr(stores, "PROBE_S", 0.001)
+    monkeypatch.setattr(stores, "PROBE_INTERVAL_S", 0.001)
     table = SwitchedTable()
     part = make(table)
     for _ in range(2):
         assert await part.read("k") == LOST
-    assert part.away
+    assert part.is_unavailable
     for _ in range(5):
-        refused = await part.write(tables.Write("k", 1, 0))
-        assert not refused.sent
-        assert refused.retry_after
+        rejection = await part.write(tables.Write("k", 1, 0))
+        assert not rejection.sent
+        assert rejection.retry_after
     assert table.keys.count("k") == 2
     table.answer = KeyError("versions")
-    tried = len(table.keys)
-    await until(lambda: len(table.keys) > tried + 2)
-    assert part.away
+    call_count = len(table.keys)
+    await wait_until(lambda: len(table.keys) > call_count + 2)
+    assert part.is_unavailable
     table.answer = tables.Conflict(())
-    await until(lambda: not part.away)
+    await wait_until(lambda: not part.is_unavailable)
     assert set(table.keys) == {"k", stores.PROBE_KEY}
     assert await part.read("k") == tables.Conflict(())
 
 
-class UnheardTable:
-    """Takes writes and loses their answers; answers reads."""
+class LossyTable:
+    """Applies writes but loses their answers; answers reads."""
 
     def __init__(self):
         self.rows = {}
@@ -95,40 +95,40 @@
         return LOST
 
 
-async def test_a_store_that_takes_writes_unheard_is_used_again(monkeypatch):
+async def test_store_that_applies_writes_is_used_again(monkeypatch):
     """The breaker must not stay open while writes take effect.
 
-    All answers to writes are lost, the probe's too; ballots would be
-    refused for as long as that lasts.
+    All answers to writes are lost, also those to probes; ballots would be
+    rejected for as long as that lasts.
     """
-    monkeypatch.setattr(stores, "PROBE_S", 0.001)
-    part = make(UnheardTable())
+    monkeypatch.setattr(stores, "PROBE_INTERVAL_S", 0.001)
+    part = make(LossyTable())
     for _ in range(2):
         assert await part.write(tables.Write("k", 1, 0)) == LOST
-    assert part.away
-    assert part.readable
+    assert part.is_unavailable
+    assert part.is_readable
     assert (await part.read("k")).value == 1
-    await until(lambda: not part.away)
+    await wait_until(lambda: not part.is_unavailable)
 
 
-async def test_a_store_that_refuses_writes_is_not_taken_to_act(monkeypatch):
-    """A probe must not take a lost answer for a write that had effect.
+async def test_store_that_applies_no_writes_stays_unavailable(monkeypatch):
+    """A probe must not count a lost answer as a write that took effect.
 
-    Ballots would be let in, each to wait for the store in vain.
+    Ballots would be admitted, and each would wait for the store in vain.
     """
-    monkeypatch.setattr(stores, "PROBE_S", 0.001)
-    table = UnheardTable()
+    monkeypatch.setattr(stores, "PROBE_INTERVAL_S", 0.001)
+    table = LossyTable()
     part = make(table)
     for _ in range(2):
         await part.write(tables.Write("k", 1, 0))
     table.rows.clear()
-    tried = 0
+    call_count = 0
 
     async def write(*_writes):
-        nonlocal tried
-        tried += 1
+        nonlocal call_count
+        call_count += 1
         return LOST
 
     table.write = write
-    await until(lambda: tried > 6)
-    assert part.away
+    await wait_until(lambda: call_count > 6)
+    assert part.is_unavailable
--- a/sycamoreshed/idempotency/tests/test_sweep.py
+++ b/sycamoreshed/idempotency/tests/test_sweep.py
@@ -1,4 +1,4 @@
-"""Sweeping records, against a table in memory."""
+"""Sweeping of expired records, against an in-memory table."""
 
 from sycamoreshed.adapters import table as tables
 from sycamoreshed.idempotency import decide
@@ -8,7 +8,7 @@
 
 
 class MemoryStore:
-    """Rows with versions; `touch` changes a row before a delete."""
+    """Versioned rows; the row `touch` is changed before its delete."""
 
     def __init__(self, rows, touch=None):
         self.rows = {key: tables.Row(key, v, 1) for key, v in rows.items()}
@@ -53,13 +53,13 @@
 
 
 def sweeper(store):
-    return sweep.Sweeper(store=store, ttl_s=100.0, wall=lambda: NOW)
+    return sweep.Sweeper(store=store, ttl_s=100.0, wall_clock=lambda: NOW)
 
 
-async def test_only_old_records_that_ended_are_deleted():
-    """A record that says begun is days old, its instance paused.
+async def test_only_expired_settled_records_are_deleted():
+    """A record in state begun is days old because its instance is paused.
 
-    Deleted, it would let the same vote be cast again.
+    If it were deleted, the same vote could be cast again.
     """
     rows = {
         "once/a": record(decide.State.DONE, 0.0),
@@ -69,32 +69,32 @@
         "other": record(decide.State.DONE, 0.0),
     }
     store = MemoryStore(rows)
-    assert await sweeper(store).step()
+    assert await sweeper(store).sweep_page()
     assert sorted(store.rows) == ["once-sweep", "once/b", "once/d", "other"]
     assert store.transactions == 2
-    assert not await sweeper(store).step()
+    assert not await sweeper(store).sweep_page()
 
 
-async def test_a_record_that_changes_meanwhile_is_left():
-    """A key is used again just as its old record is swept."""
+async def test_concurrently_changed_record_is_kept():
+    """A key is used again while its old record is being swept."""
     rows = {
         "once/a": record(decide.State.NOT_RUN, 0.0),
         "once/b": record(decide.State.DONE, 0.0),
     }
     store = MemoryStore(rows, touch="once/a")
-    assert await sweeper(store).step()
+    assert await sweeper(store).sweep_page()
     assert sorted(store.rows) == ["once-sweep", "once/a"]
 
 
-async def test_pages_follow_each_other(monkeypatch):
-    monkeypatch.setattr(sweep, "PAGE", 2)
+async def test_pages_are_swept_in_order(monkeypatch):
+    monkeypatch.setattr(sweep, "PAGE_ROWS", 2)
     rows = {f"once/{n}": record(decide.State.DONE, 0.0) for n in range(5)}
     store = MemoryStore(rows)
     part = sweeper(store)
-    for left in (3, 1, 0):
-        cursor = await store.read(sweep.CURSOR)
+    for remaining in (3, 1, 0):
+        cursor = await store.read(sweep.CURSOR_KEY)
         if cursor.value is not None:
             cursor.value["at"] = 0.0
-        assert await part.step()
-        assert len(await store.scan("once/", after="", limit=9)) == left
-    assert (await store.read(sweep.CURSOR)).value["after"] == ""
+        assert await part.sweep_page()
+        assert len(await store.scan("once/", after="", limit=9)) == remaining
+    assert (await store.read(sweep.CURSOR_KEY)).value["after"] == ""
--- a/sycamoreshed/idempotency/trace.py
+++ b/sycamoreshed/idempotency/trace.py
@@ -1,4 +1,4 @@
-"""Log lines about records: who wrote which version, and on what grounds."""
+"""Decision log lines about records: each write, its version and its reason."""
 
 from sycamoreshed.adapters import table as tables
 from sycamoreshed.errors import kinds
@@ -7,7 +7,7 @@
 
 
 class Trace:
-    """Writes a line for each step that decides about a record.
+    """Logs a line for each decision about a record.
 
     Parameters
     ----------
@@ -17,17 +17,17 @@
 
     Notes
     -----
-    A record passes from one attempt to the next.  Only with the version
-    and the attempt on each line can an answer be followed back to the
-    record that it was made from.
+    Several attempts may hold a record one after another.  The version and
+    the attempt on each line allow an answer to be traced to the record
+    that it was built from.
     """
 
     def __init__(self, *, log, clock):
         self._log = log
         self._clock = clock
 
-    def row(self, what, row, **fields):
-        """Log a step that was decided from a row as it was read.
+    def log_row(self, step_name, row, **fields):
+        """Log a step that was decided from a row.
 
         Parameters
         ----------
@@ -35,12 +35,12 @@
             Name of the step.
         row : Row, Failure or None
         **fields
-            ``request``, ``step`` and the like.
+            Further log fields, such as ``request`` and ``step``.
         """
-        self._write(what, **_seen(row), **fields)
+        self._write(step_name, **_row_fields(row), **fields)
 
-    def write(self, what, write, result):
-        """Log a conditional write and what came of it.
+    def log_write(self, step_name, write, result):
+        """Log a conditional write and its result.
 
         Parameters
         ----------
@@ -51,26 +51,26 @@
         result : Written, Conflict or Failure
         """
         self._write(
-            what,
+            step_name,
             key=write.key,
             request=write.value["attempt"],
             state=write.value["state"],
             if_version=write.if_version,
-            **_came_of(result),
+            **_result_fields(result),
         )
 
-    def refusal(self, failure, *, request, row, is_seen):
-        """Log what a refused request is told, and on what grounds.
+    def log_rejection(self, failure, *, request, row, is_seen):
+        """Log a rejection that is returned to a caller, and its reasons.
 
         Parameters
         ----------
         failure : Failure
-            As it is told.
+            As returned to the caller.
         request : Request
         row : Row, Failure or None
-            The record of its key, as far as it was read.
+            The record of its key; None if it was not read.
         is_seen : bool
-            Whether this instance knows of another request with the key.
+            Whether this instance has handled another request with the key.
         """
         self._write(
             "refuse key",
@@ -79,22 +79,22 @@
             in_doubt=failure.earlier_may_have_run,
             repeat=request.repeat,
             is_seen=is_seen,
-            **_seen(row),
+            **_row_fields(row),
         )
 
-    def _write(self, what, **fields):
-        self._log.write(self._clock(), what, **fields)
+    def _write(self, step_name, **fields):
+        self._log.write(self._clock(), step_name, **fields)
 
 
-def _seen(row):
-    """Return the fields that tell of a row, or why there is none.
+def _row_fields(row):
+    """Return log fields for a row, or the reason why it is missing.
 
     Examples
     --------
     >>> value = {"state": "begun", "attempt": "a"}
-    >>> _seen(tables.Row("k", value, 7))
+    >>> _row_fields(tables.Row("k", value, 7))
     {'key': 'k', 'version': 7, 'state': 'begun', 'attempt': 'a'}
-    >>> _seen(tables.Row("k", None, 0))
+    >>> _row_fields(tables.Row("k", None, 0))
     {'key': 'k', 'version': 0}
     """
     if row is None:
@@ -108,15 +108,15 @@
     return fields
 
 
-def _came_of(result):
-    """Return the fields that tell what came of a write.
+def _result_fields(result):
+    """Return log fields for the result of a write.
 
     Examples
     --------
-    >>> _came_of(tables.Written((7,)))
+    >>> _result_fields(tables.Written((7,)))
     {'result': 'written', 'version': 7}
     >>> value = {"state": "done", "attempt": "a"}
-    >>> _came_of(tables.Conflict((tables.Row("k", value, 8),)))
+    >>> _result_fields(tables.Conflict((tables.Row("k", value, 8),)))
     {'result': 'conflict', 'found': 8, 'found_state': 'done', 'attempt': 'a'}
     """
     if isinstance(result, tables.Written):
@@ -126,9 +126,9 @@
             "result": "unknown" if result.sent else "refused",
             "why": result.reason,
         }
-    found = _seen(result.rows[0])
-    fields = {"result": "conflict", "found": found["version"]}
-    if "state" in found:
-        fields["found_state"] = found["state"]
-        fields["attempt"] = found["attempt"]
+    current = _row_fields(result.rows[0])
+    fields = {"result": "conflict", "found": current["version"]}
+    if "state" in current:
+        fields["found_state"] = current["state"]
+        fields["attempt"] = current["attempt"]
     return fields
