--- a/sycamoreshed/errors/kinds.py
+++ b/sycamoreshed/errors/kinds.py
@@ -26,6 +26,7 @@
 
     BAD_REQUEST = "bad-request"
     TOO_LARGE = "too-large"
+    # Of the caller: an unknown API key.
     UNKNOWN_KEY = "unknown-key"
     UNKNOWN_TEAM = "unknown-team"
     NOT_ASSIGNED = "not-assigned"
@@ -35,6 +36,7 @@
     WRONG_METHOD = "wrong-method"
     KEY_MISSING = "key-missing"
     KEY_CONFLICT = "key-conflict"
+    # Of a look-up: an idempotency key without a record.
     KEY_UNKNOWN = "key-unknown"
     KEY_EXPIRED = "key-expired"
     IN_PROGRESS = "in-progress"
@@ -67,8 +69,9 @@
     reason : str
         Human-readable; never parsed.
     sent : bool
-        Whether anything may have been sent to an endpoint.  False
-        guarantees that the work did not start.
+        Whether the call of an endpoint or the write to a store may have
+        been sent.  False guarantees that it had no effect: the work did
+        not start.
     retry_after : float or None
         Seconds after which a retry makes sense.
     earlier_may_have_run : bool
@@ -93,7 +96,8 @@
     title : str
         Title of the problem details (RFC 9457).
     outcome : Outcome
-        What the caller may conclude if nothing was sent.
+        What the caller may conclude; `answer_for` replaces it where
+        something was sent or an earlier request may have run.
     retry_after : float or None
         Seconds for ``Retry-After`` if the failure sets none.
     """
--- a/sycamoreshed/idempotency/breaker.py
+++ b/sycamoreshed/idempotency/breaker.py
@@ -16,8 +16,8 @@
     Notes
     -----
     Without it each request during an outage would wait for a timeout
-    before it fails as "not run", and would hold a slot that reads and
-    generation need.
+    before it fails as "not run".  Meanwhile it would hold a slot that
+    requests without a record, such as reads and generation, need.
 
     Examples
     --------
--- a/sycamoreshed/idempotency/decide.py
+++ b/sycamoreshed/idempotency/decide.py
@@ -22,9 +22,9 @@
     "after_run",
     "after_write",
     "can_wait_for_store",
-    "fence_version",
+    "fence_write_version",
     "find_ran_answer",
-    "is_claim_abandoned",
+    "is_claiming_over",
     "row_after_completion",
 ]
 
@@ -47,12 +47,12 @@
 class Record(typing.TypedDict):
     """The value of a record's row.
 
-    ``attempt`` is the id of the request that wrote it, ``body`` the
+    ``attempt`` is the id of the request that claimed it, ``body`` the
     digest of its pipeline and input, ``at`` wall-clock seconds, used only
     for sweeping.  ``stages`` names the stages of a complete answer if the
     non-repeatable stage is the last, so that any instance can build the
-    answer from that stage's output.  ``answer`` and ``status`` are what
-    was sent to the caller.
+    answer from that stage's output.  ``answer`` and ``status`` are
+    the answer for the caller.
     """
 
     state: str
@@ -68,33 +68,44 @@
 
 
 class Step(enum.Enum):
-    """Next step after a read or write of a record."""
+    """Next step after a read or write of a record.
 
+    A record is written to claim it, and again to settle it.
+    """
+
+    # The record is written: send the call, or the answer if it settles.
     SEND = "send"
+    # The answer to the claim's write was lost: read the row.
     READ_BACK = "read back"
+    # Write again, conditional on the version found.
     CLAIM_AGAIN = "claim again"
+    # Read or write again after a pause, conditional on the same version.
     TRY_AGAIN = "try again"
+    # An answer is recorded: send that one.
     REPLAY = "replay"
+    # Another attempt has begun: wait for its end.
     WAIT = "wait"
+    # The record allows this attempt no further write: stop.
     REFUSE = "refuse"
+    # The key was used with another pipeline or input.
     CONFLICT = "conflict"
 
 
 class RunEnd(enum.Enum):
-    """How to settle the record, and what to report, at the end of a run."""
+    """What to do with the record at the end of a run."""
 
     FINISH = "finish"
     RELEASE = "release"
     LEAVE = "leave begun"
 
 
-def after_write(result, attempt, body):
+def after_write(result, attempt, body_digest):
     """Decide the next step after the conditional write of a claim.
 
     Parameters
     ----------
     result : Written, Conflict or Failure
-    attempt, body : str
+    attempt, body_digest : str
         Id of this attempt, and the digest of its pipeline and input.
 
     Returns
@@ -105,16 +116,16 @@
         return Step.SEND
     if isinstance(result, kinds.Failure):
         return Step.READ_BACK if result.sent else Step.TRY_AGAIN
-    return after_read(result.rows[0], attempt, body)
+    return after_read(result.rows[0], attempt, body_digest)
 
 
-def after_read(row, attempt, body):
+def after_read(row, attempt, body_digest):
     """Decide the next step after reading a record.
 
     Parameters
     ----------
     row : Row or Failure
-    attempt, body : str
+    attempt, body_digest : str
 
     Returns
     -------
@@ -136,7 +147,7 @@
         return Step.SEND
     if is_own and record["state"] == State.NOT_RUN:
         return Step.REFUSE
-    if record["body"] != body:
+    if record["body"] != body_digest:
         return Step.CONFLICT
     if record["state"] == State.DONE:
         return Step.REPLAY
@@ -145,7 +156,7 @@
     return Step.WAIT
 
 
-def is_claim_abandoned(now, deadline, is_store_unavailable):
+def is_claiming_over(now, deadline, is_store_unavailable):
     """Return whether an attempt without a claim stops trying to get one.
 
     Parameters
@@ -153,7 +164,8 @@
     now, deadline : float
         Monotonic seconds.
     is_store_unavailable : bool
-        Whether the circuit breaker of the store is open.
+        Whether the store is unavailable, and the attempt does not go on
+        waiting for it.
     """
     return is_store_unavailable or now + DEADLINE_MARGIN_S >= deadline
 
@@ -174,7 +186,8 @@
     Notes
     -----
     A rejected caller would retry with a key whose record may already
-    exist.  An attempt that has written nothing is rejected at once.
+    exist, left by the lost write, and could receive "outcome unknown".  An
+    attempt that has written nothing is rejected at once.
 
     Examples
     --------
@@ -188,7 +201,7 @@
     return may_be_written and now < unavailable_since + max_wait_s
 
 
-def fence_version(row, attempt):
+def fence_write_version(row, attempt):
     """Return the row version over which an ended attempt writes its fence.
 
     Parameters
@@ -211,7 +224,8 @@
     "outcome unknown" although nothing ran.  Once the row has another
     version, the delayed write cannot take effect.  A record that another
     attempt has begun or done already has such a version, and is left
-    unchanged.
+    unchanged.  A ``not-run`` of another attempt is overwritten, since the
+    delayed write may be conditional on its version.
     """
     if row.value is None:
         return row.version
@@ -254,11 +268,12 @@
     Returns
     -------
     Step
-        ``SEND``: recorded, send the answer to the caller.  ``REPLAY``:
-        another instance recorded an answer, send that one.
-        ``CLAIM_AGAIN``: write again over the current version.
-        ``TRY_AGAIN``: the result of the write is unknown.  ``REFUSE``:
-        the record no longer belongs to this attempt.
+        ``SEND``: recorded, send the answer to the caller.  ``REPLAY``: an
+        answer is already recorded, by another instance or an earlier
+        write; send that one.  ``CLAIM_AGAIN``: write again over the
+        current version.  ``TRY_AGAIN``: the write failed, or its result
+        is unknown.  ``REFUSE``: the record belongs to another attempt, is
+        absent, or is already ``not-run``.
     """
     if isinstance(result, tables.Written):
         return Step.SEND
@@ -297,7 +312,8 @@
     for the first attempt would then be a second answer for one key, and
     for a request that was reported as "not run".  Versions only grow, so a
     write that took effect proves that no other attempt has held the record
-    since; any other result of the write proves nothing.
+    since.  No other result proves it: after a conflict, the current row
+    counts; after a failure, nothing is known.
     """
     if isinstance(result, tables.Written):
         return tables.Row(write.key, write.value, result.versions[0])
--- a/sycamoreshed/idempotency/groups.py
+++ b/sycamoreshed/idempotency/groups.py
@@ -58,7 +58,8 @@
     spawn : callable
         Runs a coroutine in the background.
     max_size : int
-        Largest number of writes in one transaction; 1 disables grouping.
+        Largest number of writes in one transaction; 1 disables grouping
+        and sends each write at once, concurrently.
 
     Notes
     -----
--- a/sycamoreshed/idempotency/keys.py
+++ b/sycamoreshed/idempotency/keys.py
@@ -13,20 +13,20 @@
 
 __all__ = [
     "PREFIX",
-    "CLOCK_TOLERANCE_S",
-    "KeyNames",
+    "DOUBLE_CLOCK_SKEW_S",
+    "RequestKeys",
     "check_key",
     "digest",
-    "digest_of",
     "endpoint_key",
     "issued_at",
-    "key_names",
     "record_key",
+    "request_digest",
+    "request_keys",
 ]
 
 PREFIX = "once/"
 # Twice the tolerated difference between callers' and instances' clocks.
-CLOCK_TOLERANCE_S = 600.0
+DOUBLE_CLOCK_SKEW_S = 600.0
 _VALID_KEY = re.compile(r"[\x21-\x7e]{1,200}")
 
 
@@ -75,9 +75,9 @@
     differently, so the key of a later look-up could differ from the
     recorded one.
 
-    A dated key whose record may have been swept is rejected.  Otherwise
-    its request could run a second time once the record is gone, a day
-    after the first.
+    A UUIDv7 key older than `ttl_s` is rejected: its record may have been
+    swept, and its request could run a second time, after as long as
+    records are kept (usually a day).
 
     Examples
     --------
@@ -105,7 +105,7 @@
         return kinds.Failure(
             kinds.Kind.KEY_EXPIRED, f"made {now - issued:.0f} s ago"
         )
-    if issued - CLOCK_TOLERANCE_S / 2 > now:
+    if issued - DOUBLE_CLOCK_SKEW_S / 2 > now:
         return kinds.Failure(
             kinds.Kind.BAD_REQUEST, "Idempotency-Key is dated in the future"
         )
@@ -146,8 +146,8 @@
     return f"{urllib.parse.quote(team, safe='')}/{key}"
 
 
-class KeyNames(typing.NamedTuple):
-    """Keys derived from a request's idempotency key.
+class RequestKeys(typing.NamedTuple):
+    """Keys derived from a request's idempotency key, and their service.
 
     Parameters
     ----------
@@ -164,18 +164,18 @@
     endpoint_key: str
 
 
-def key_names(request):
-    """Return the `KeyNames` of a request."""
+def request_keys(request):
+    """Return the `RequestKeys` of a request."""
     stage = runner.unrepeatable_stage(request.config, request.pipeline)
     service = stage["service"]
-    return KeyNames(
+    return RequestKeys(
         record_key(request.team, service, request.key),
         service,
         endpoint_key(request.team, request.key),
     )
 
 
-def digest_of(request):
+def request_digest(request):
     """Return the digest of a request's pipeline and input."""
     return digest(request.pipeline, request.body)
 
--- a/sycamoreshed/idempotency/lookups.py
+++ b/sycamoreshed/idempotency/lookups.py
@@ -24,9 +24,9 @@
 
     Notes
     -----
-    Endpoints of a service may record their calls separately or in common.
-    Querying all covers both cases, and saves a write that would record
-    which endpoint was chosen.
+    Endpoints of a service may record their calls separately or in common;
+    querying all covers both.  To query only the endpoint that received the
+    call, its choice would have to be recorded by an extra write.
     """
 
     def __init__(self, *, client):
@@ -59,7 +59,7 @@
 
         Notes
         -----
-        While the store is unavailable, each rejected request needs a
+        While the store is unavailable, many rejected requests need a
         look-up.  Without a limit on concurrency, look-ups would crowd out
         calls that can be served; a request that waits too long is rejected
         without a look-up.
--- a/sycamoreshed/idempotency/once.py
+++ b/sycamoreshed/idempotency/once.py
@@ -59,7 +59,7 @@
 
 
 class AtMostOnce:
-    """Runs a pipeline at most once for each idempotency key.
+    """Runs pipelines with a stage that is sent at most once for each key.
 
     Parameters
     ----------
@@ -90,7 +90,7 @@
     def track_in_progress(self, request):
         """Return a context in which a request's key counts as in progress."""
         return self._records.prior_runs.track_in_progress(
-            keys.key_names(request).record_key
+            keys.request_keys(request).record_key
         )
 
     def reject_unread(self, request, failure):
@@ -118,16 +118,20 @@
         failure = _check_single_unrepeatable(request)
         if failure is not None:
             return self.reject_unread(request, failure)
-        row_key = keys.key_names(request).record_key
+        row_key = keys.request_keys(request).record_key
         unstored = self._records.settler.unstored_record(row_key)
-        failure = self._records.check_writable()
+        failure = self._records.reject_if_unavailable()
         if unstored is not None:
+            # Always done, so that `recorded_result` is not None; its version
+            # is not used.
             row = tables.Row(row_key, unstored, tables.ABSENT)
         elif failure is not None:
             row = await self._records.read(row_key)
         else:
             return None
-        result = self._records.recorded_result(row, keys.digest_of(request))
+        result = self._records.recorded_result(
+            row, keys.request_digest(request)
+        )
         if result is None:
             result = await self._rejecter.reject_by_record(
                 request, failure, row
@@ -151,10 +155,10 @@
         unrepeatable = runners.unrepeatable_stage(
             request.config, request.pipeline
         )
-        row_key, service, endpoint_key = keys.key_names(request)
+        row_key, service, endpoint_key = keys.request_keys(request)
         record = records.new_record(
             request,
-            keys.digest_of(request),
+            keys.request_digest(request),
             instance=self._instance,
             stages=names if unrepeatable is stages[-1] else None,
         )
@@ -233,8 +237,8 @@
         """Return the answer to a request that has claimed nothing."""
         if not isinstance(result, kinds.Failure) or result.sent:
             return responses.replay_response(result)
-        return await self._rejecter.reject_after_claim(
-            request, responses.as_not_run(result)
+        return await self._rejecter.reject_unsent(
+            request, responses.with_unsent_kind(result)
         )
 
     async def _settle_and_respond(self, request, unrepeatable, gate, result):
@@ -242,8 +246,8 @@
         end = decide.after_run(failure, gate.stage_answer is not None)
         if end is decide.RunEnd.RELEASE:
             await self._records.settler.release(gate.claim)
-            return await self._rejecter.reject_after_claim(
-                request, responses.as_not_run(failure)
+            return await self._rejecter.reject_unsent(
+                request, responses.with_unsent_kind(failure)
             )
         self._records.prior_runs.add(gate.claim.key)
         if end is decide.RunEnd.LEAVE:
@@ -264,7 +268,10 @@
         return responses.replay_response(replay)
 
     async def _complete_from_endpoints(self, row, service, endpoint_key):
-        """Return the row, completed if an endpoint reports that it ran."""
+        """Complete a begun record if an endpoint reports that its call ran.
+
+        Returns the current row, as far as known.
+        """
         record = row.value
         if record is None or record["state"] != decide.State.BEGUN:
             return row
--- a/sycamoreshed/idempotency/prior_runs.py
+++ b/sycamoreshed/idempotency/prior_runs.py
@@ -36,13 +36,13 @@
     --------
     >>> prior = PriorRuns()
     >>> with prior.track_in_progress("k"):
-    ...     alone = prior.has_other("k")
+    ...     alone = prior.has_other_request("k")
     ...     with prior.track_in_progress("k"):
-    ...         both = prior.has_other("k")
-    >>> alone, both, prior.has_other("k")
+    ...         both = prior.has_other_request("k")
+    >>> alone, both, prior.has_other_request("k")
     (False, True, False)
     >>> prior.add("k")
-    >>> prior.has_other("k")
+    >>> prior.has_other_request("k")
     True
     """
 
@@ -71,7 +71,7 @@
         if len(self._ran) > self._max_keys:
             self._ran.popitem(last=False)
 
-    def has_other(self, key):
+    def has_other_request(self, key):
         """Return whether another request with a key may have run.
 
         Notes
@@ -94,7 +94,8 @@
     repeat : bool or None
         See `Request`.
     is_seen : bool
-        Whether this instance has handled another request with the key.
+        Whether another request with the key is in progress, or may have
+        run, on this instance.
 
     Returns
     -------
--- a/sycamoreshed/idempotency/records.py
+++ b/sycamoreshed/idempotency/records.py
@@ -22,13 +22,13 @@
 _RETRY_STEPS = (decide.Step.CLAIM_AGAIN, decide.Step.TRY_AGAIN)
 
 
-def new_record(request, body, *, instance, stages=None):
+def new_record(request, body_digest, *, instance, stages=None):
     """Return the record of an attempt that has just begun.
 
     Parameters
     ----------
     request : Request
-    body : str
+    body_digest : str
         Digest of its pipeline and input.
     instance : str
     stages : list of str, optional
@@ -37,7 +37,7 @@
     record = decide.Record(
         state=decide.State.BEGUN,
         attempt=request.id,
-        body=body,
+        body=body_digest,
         pipeline=request.pipeline,
         config=request.config.version,
         instance=instance,
@@ -68,21 +68,21 @@
         self._clock = clock
         self.settler = settler
 
-    def check_writable(self):
-        """Return a failure if writes are rejected at present, or None."""
-        return self.store.check_writable()
+    def reject_if_unavailable(self):
+        """Return a failure while writes are rejected, else None."""
+        return self.store.reject_if_unavailable()
 
     async def read(self, key):
         """Return the row of a record, or a failure."""
         return await self.store.read(key)
 
-    def recorded_result(self, row, body):
+    def recorded_result(self, row, body_digest):
         """Return the result that a record holds for a request, if any.
 
         Parameters
         ----------
         row : Row or Failure
-        body : str
+        body_digest : str
             Digest of the request's pipeline and input.
 
         Returns
@@ -91,7 +91,7 @@
             A replay if the answer is recorded, a failure if the key was
             used with another body, else None.
         """
-        step = decide.after_read(row, None, body)
+        step = decide.after_read(row, None, body_digest)
         if step in (decide.Step.REPLAY, decide.Step.CONFLICT):
             return self._result_of(step, row, earlier_may_have_run=False)
         return None
@@ -123,15 +123,18 @@
         deadline : float
             Monotonic seconds.
         complete_from_endpoints : coroutine function
-            Takes the row of another attempt that has begun; returns the
-            row, completed if an endpoint reports that the call ran.
+            Takes the row of another attempt that has begun.  Completes the
+            record if an endpoint reports that the call ran; returns the
+            current row, as far as known.
 
         Returns
         -------
         Claim, Replay or Failure
             A failure has ``sent`` false if this attempt did not run and
-            never will; its ``earlier_may_have_run`` is true if the record
-            did not show whether an earlier attempt has run.
+            never will; then its ``earlier_may_have_run`` is true unless the
+            record showed that no earlier attempt may have run.  It has
+            ``sent`` true if an earlier attempt has begun and its outcome is
+            unknown.
         """
         version = tables.ABSENT
         may_be_written = False
@@ -168,7 +171,7 @@
                     may_be_written=may_be_written,
                 )
             )
-            if step not in _RETRY_STEPS or decide.is_claim_abandoned(
+            if step not in _RETRY_STEPS or decide.is_claiming_over(
                 now, deadline, is_unavailable
             ):
                 break
@@ -205,9 +208,9 @@
         return decide.row_after_completion(result, write)
 
     async def _try_claim(self, key, record, version):
-        attempt, body = record["attempt"], record["body"]
+        attempt, body_digest = record["attempt"], record["body"]
         result = await self.store.write(tables.Write(key, record, version))
-        step = decide.after_write(result, attempt, body)
+        step = decide.after_write(result, attempt, body_digest)
         if isinstance(result, tables.Written):
             return step, tables.Row(key, record, result.versions[0]), False
         if isinstance(result, tables.Conflict):
@@ -215,22 +218,22 @@
         if step is not decide.Step.READ_BACK:
             return step, None, False
         row = await self.store.read(key)
-        step = decide.after_read(row, attempt, body)
+        step = decide.after_read(row, attempt, body_digest)
         if step is decide.Step.SEND:
-            self.store.confirm_write()
+            self.store.report_write_applied()
         return step, row, True
 
     async def _wait_for_owner(
         self, key, record, deadline, complete_from_endpoints, row
     ):
-        attempt, body = record["attempt"], record["body"]
+        attempt, body_digest = record["attempt"], record["body"]
         for pause in settling.backoff_pauses():
             row = await complete_from_endpoints(row)
-            step = decide.after_read(row, attempt, body)
+            step = decide.after_read(row, attempt, body_digest)
             if step is not decide.Step.WAIT:
                 return step, row
             now = self._clock()
-            if decide.is_claim_abandoned(now, deadline, False):
+            if decide.is_claiming_over(now, deadline, False):
                 return step, row
             # The last read is as late as the deadline allows.
             remaining_s = deadline - now - decide.DEADLINE_MARGIN_S
@@ -239,7 +242,7 @@
             if isinstance(current, kinds.Failure):
                 continue
             row = current
-            step = decide.after_read(row, attempt, body)
+            step = decide.after_read(row, attempt, body_digest)
             if step is not decide.Step.WAIT:
                 return step, row
 
@@ -260,6 +263,7 @@
                 kinds.Kind.OUTCOME_UNKNOWN,
                 f"request {row.value['attempt']} has begun with this key"
                 " and its end is not known",
+                # Of the earlier attempt.
                 sent=True,
             )
         return kinds.Failure(
--- a/sycamoreshed/idempotency/rejections.py
+++ b/sycamoreshed/idempotency/rejections.py
@@ -1,4 +1,7 @@
-"""Rejections of keyed requests that hold for all requests with the key."""
+"""Rejections of keyed requests.
+
+Their outcome takes earlier requests with the key into account.
+"""
 
 from sycamoreshed.idempotency import keys
 from sycamoreshed.idempotency import prior_runs
@@ -57,15 +60,15 @@
             verdict = await self._verdict_of_endpoints(request)
         return self._finish(request, failure, verdict, row)
 
-    async def reject_after_claim(self, request, failure):
+    async def reject_unsent(self, request, failure):
         """Return the rejection of an attempt that sent nothing.
 
         Parameters
         ----------
         request : Request
         failure : Failure
-            With ``earlier_may_have_run`` true if the attempt could not
-            read the record.
+            With ``earlier_may_have_run`` true if the record shows that an
+            earlier attempt may have run, or could not be read.
         """
         verdict = self._local_verdict(request)
         if verdict is None:
@@ -81,10 +84,12 @@
         )
 
     def _is_seen(self, request):
-        return self._prior_runs.has_other(keys.key_names(request).record_key)
+        return self._prior_runs.has_other_request(
+            keys.request_keys(request).record_key
+        )
 
     async def _verdict_of_endpoints(self, request):
-        names = keys.key_names(request)
+        names = keys.request_keys(request)
         answers = await self._lookups.look_up_for_rejection(
             request.config, names.service, names.endpoint_key
         )
--- a/sycamoreshed/idempotency/responses.py
+++ b/sycamoreshed/idempotency/responses.py
@@ -11,16 +11,16 @@
 
 __all__ = [
     "OK",
-    "as_not_run",
     "ran_problem",
     "record_response",
     "replay_response",
+    "with_unsent_kind",
 ]
 
 OK = 200
-# Kinds whose outcome is not "not run", and the kinds that replace them if
-# the non-repeatable stage was not sent.
-_NOT_RUN_KINDS = {
+# Replacements, with outcome "not run", for the kinds of failures of a run
+# whose non-repeatable stage was not sent.
+_KIND_IF_UNSENT = {
     kinds.Kind.LATE: kinds.Kind.HOPELESS,
     kinds.Kind.STAGE_FAILED: kinds.Kind.REFUSED,
     kinds.Kind.BROKEN_STREAM: kinds.Kind.REFUSED,
@@ -42,11 +42,11 @@
     return msgspec.json.encode(details), details["status"]
 
 
-def as_not_run(result):
-    """Return an unsent failure with a kind whose outcome is "not run"."""
+def with_unsent_kind(result):
+    """Return an unsent failure with its replacement kind, others unchanged."""
     if not isinstance(result, kinds.Failure) or result.sent:
         return result
-    return result._replace(kind=_NOT_RUN_KINDS.get(result.kind, result.kind))
+    return result._replace(kind=_KIND_IF_UNSENT.get(result.kind, result.kind))
 
 
 def replay_response(result):
--- a/sycamoreshed/idempotency/settling.py
+++ b/sycamoreshed/idempotency/settling.py
@@ -48,7 +48,7 @@
 
 
 class Replay(typing.NamedTuple):
-    """The recorded answer, as it was first sent."""
+    """The answer for a key: body and HTTP status."""
 
     answer: str
     status: int
@@ -197,7 +197,7 @@
             return failure
         if row.value != write.value:
             return tables.Conflict((row,))
-        self._store.confirm_write()
+        self._store.report_write_applied()
         return tables.Written((row.version,))
 
     async def _fence(self, key, record):
@@ -205,7 +205,7 @@
         for pause in backoff_pauses(MAX_BACKGROUND_PAUSE_S):
             row = await self._store.read(key)
             if not isinstance(row, kinds.Failure):
-                version = decide.fence_version(row, record["attempt"])
+                version = decide.fence_write_version(row, record["attempt"])
                 if version is None:
                     return
                 write = tables.Write(key, not_run, version)
--- a/sycamoreshed/idempotency/store.py
+++ b/sycamoreshed/idempotency/store.py
@@ -14,8 +14,9 @@
 
 PROBE_KEY = "once-probe"
 PROBE_INTERVAL_S = 1.0
-# A probe first writes conditionally on this version, which the probe row
-# almost never has: a store that reports the conflict accepts writes.
+# Version for the first write of a probe.  The probe row hardly ever has it,
+# so the write normally has no effect; a store that reports the conflict
+# accepts writes.
 UNUSED_VERSION = 1
 
 
@@ -26,9 +27,11 @@
     ----------
     table : Table
     breaker : Breaker
-        Guards writes; counts all calls that fail.
+        Guards writes: opened by failures of any call, closed by a write
+        that took effect.
     calls : prometheus_client.Counter
-        With the label ``result``: ``ok``, ``failed`` or ``refused``.
+        With the label ``result``: ``ok``, ``failed``, or ``refused`` for
+        calls not sent because a breaker is open.
     spawn : callable
         Runs a coroutine in the background.
     max_group_size : int
@@ -36,9 +39,9 @@
 
     Notes
     -----
-    Reads have a separate breaker, which counts only the failures of reads:
-    a store whose answers to writes are lost can still be read to find out
-    whether they took effect.
+    Reads have a separate breaker, opened by failed reads alone and closed
+    by any call that succeeds: a store whose answers to writes are lost can
+    still be read to find out whether they took effect.
     """
 
     def __init__(self, *, table, breaker, calls, spawn, max_group_size):
@@ -72,8 +75,11 @@
         """Seconds after which a rejected caller may retry."""
         return 2 * PROBE_INTERVAL_S
 
-    def check_writable(self):
-        """Return a failure if writes are rejected at present, or None."""
+    def reject_if_unavailable(self):
+        """Return a failure while writes are rejected, else None.
+
+        The failure counts as a rejected call.
+        """
         return self._reject() if self.is_unavailable else None
 
     def _reject(self):
@@ -105,14 +111,17 @@
         -----
         A failure caused by the open breaker has ``sent`` false.
         """
-        return self.check_writable() or await self._groups.write(write)
+        return self.reject_if_unavailable() or await self._groups.write(write)
 
     async def write_all(self, *writes):
         """Write rows atomically; see `Table.write`."""
-        return self.check_writable() or await self._write(*writes)
+        return self.reject_if_unavailable() or await self._write(*writes)
 
-    def confirm_write(self):
-        """Count a write as successful whose answer was lost."""
+    def report_write_applied(self):
+        """Report to the breakers that a write took effect.
+
+        For writes whose answer was lost, and for probes.
+        """
         self._update_breakers(True, is_write=True)
 
     async def _write(self, *writes):
@@ -147,7 +156,7 @@
                 random.uniform(PROBE_INTERVAL_S / 2, PROBE_INTERVAL_S * 1.5)
             )
             if await self._probe_succeeds():
-                self.confirm_write()
+                self.report_write_applied()
         self._probing = False
 
     async def _probe_succeeds(self):
--- a/sycamoreshed/idempotency/sweep.py
+++ b/sycamoreshed/idempotency/sweep.py
@@ -16,10 +16,10 @@
 
 CURSOR_KEY = "once-sweep"
 PAGE_ROWS = 500
-# Interval at which each instance checks whether a page is due; with 410
-# instances that is 7 reads a second.
+# Mean interval at which each instance checks whether a page is due; with
+# 410 instances that is 7 reads a second.
 CHECK_INTERVAL_S = 60.0
-# Seconds between two pages, over all instances.
+# Minimum seconds between two pages, over all instances.
 PAGE_INTERVAL_S = 2.0
 # A cursor dated further in the future was written by a wrong clock, and
 # would stop sweeping until that time.
@@ -100,7 +100,8 @@
     ----------
     store : Store
     ttl_s : float
-        Seconds for which records are kept.
+        Age in seconds after which settled records are deleted.  Longer
+        than the age limit of keys, since clocks differ.
     wall_clock : callable, optional
         Returns wall-clock seconds.
     """
@@ -121,7 +122,7 @@
             await self.sweep_page()
 
     async def sweep_page(self):
-        """Sweep a page if one is due; return whether it was swept."""
+        """Sweep a page if one is due; return whether the cursor advanced."""
         row = await self._store.read(CURSOR_KEY)
         now = self._wall_clock()
         if isinstance(row, kinds.Failure):
@@ -164,7 +165,7 @@
     """Sweep records in the background."""
     part = Sweeper(
         store=core.part("records").store,
-        ttl_s=core.settings.record_ttl_s + keys.CLOCK_TOLERANCE_S,
+        ttl_s=core.settings.record_ttl_s + keys.DOUBLE_CLOCK_SKEW_S,
     )
     task = core.spawn(part.run(), name="sweep records")
     yield part
--- a/sycamoreshed/idempotency/tests/exploration.py
+++ b/sycamoreshed/idempotency/tests/exploration.py
@@ -1,5 +1,7 @@
 """Exhaustive model of two attempts at one key against one store.
 
+Each attempt makes at most `MAX_WRITES` writes in a phase.
+
 A concurrent reader looks the key up, as a caller of the look-up does.
 
 The control flow of `records` and `once` is modelled as steps that
@@ -21,8 +23,8 @@
 NOT_RUN = decide.State.NOT_RUN
 LOST = kinds.Failure(kinds.Kind.STORE_AWAY, "lost", sent=True)
 UNSENT = kinds.Failure(kinds.Kind.STORE_AWAY, "refused", sent=False)
-QUIET = ("idle", "over", "looking")
-ENDED = ("over", "dead", "stuck")
+INACTIVE_PHASES = ("idle", "over", "looking")
+ENDED_PHASES = ("over", "dead", "stuck")
 READER = 2
 
 
@@ -44,8 +46,9 @@
 class Attempt(typing.NamedTuple):
     """One attempt, or the reader.
 
-    ``reported`` is a pair of the outcome and the attempt whose answer was
-    sent, ``awaited_owner`` the attempt whose record it waits for.
+    ``waits`` tells whether a write of it is unanswered.  ``reported`` is a
+    pair of the outcome and the attempt whose answer was sent,
+    ``awaited_owner`` the attempt whose record it waits for.
     """
 
     phase: str = "idle"
@@ -395,7 +398,7 @@
         yield "over", with_attempt(world, i, phase="over")
         return
     row = as_row(world.row, world.version)
-    version = decide.fence_version(row, str(i))
+    version = decide.fence_write_version(row, str(i))
     if version is None:
         yield (
             "nothing to fence",
@@ -472,7 +475,7 @@
     """
     attempts = tuple(
         Attempt(phase=item.phase, reported=item.reported)
-        if item.phase in ENDED
+        if item.phase in ENDED_PHASES
         else item
         for item in world.attempts
     )
@@ -506,11 +509,11 @@
     for owner in answers:
         if world.run_counts[owner] != 1:
             return "told complete, and has not run"
-    return _stuck_record(world)
+    return _unreleased_record(world)
 
 
-def _stuck_record(world):
-    if any(item.phase not in QUIET for item in world.attempts):
+def _unreleased_record(world):
+    if any(item.phase not in INACTIVE_PHASES for item in world.attempts):
         return None
     if world.row is None or world.row[0] != BEGUN:
         return None
--- a/sycamoreshed/idempotency/tests/test_decide.py
+++ b/sycamoreshed/idempotency/tests/test_decide.py
@@ -71,13 +71,13 @@
         (row("not-run", "b"), 3),
     ],
 )
-def test_fence_version(found, version):
+def test_fence_write_version(found, version):
     """A write with a lost answer takes effect after its attempt has ended.
 
     Without the fence, retries with the key would receive "unknown" for
     ever.
     """
-    assert decide.fence_version(found, "a") == version
+    assert decide.fence_write_version(found, "a") == version
 
 
 @pytest.mark.parametrize(
@@ -138,7 +138,5 @@
     ("now", "is_store_unavailable", "expected"),
     [(1.0, False, False), (9.99, False, True), (1.0, True, True)],
 )
-def test_is_claim_abandoned(now, is_store_unavailable, expected):
-    assert (
-        decide.is_claim_abandoned(now, 10.0, is_store_unavailable) is expected
-    )
+def test_is_claiming_over(now, is_store_unavailable, expected):
+    assert decide.is_claiming_over(now, 10.0, is_store_unavailable) is expected
--- a/sycamoreshed/idempotency/tests/test_explore.py
+++ b/sycamoreshed/idempotency/tests/test_explore.py
@@ -8,39 +8,39 @@
 from sycamoreshed.idempotency.tests import exploration
 
 Step = decide.Step
-GOOD = {
+ORIGINAL = {
     name: getattr(decide, name)
     for name in (
         "after_read",
         "after_run",
         "after_write",
         "row_after_completion",
-        "fence_version",
+        "fence_write_version",
     )
 }
 
 
-def send_after_lost_answer(result, attempt, body):
+def send_after_lost_answer(result, attempt, body_digest):
     if isinstance(result, kinds.Failure) and result.sent:
         return Step.SEND
-    return GOOD["after_write"](result, attempt, body)
+    return ORIGINAL["after_write"](result, attempt, body_digest)
 
 
-def send_when_absent(row, attempt, body):
-    step = GOOD["after_read"](row, attempt, body)
+def send_when_absent(row, attempt, body_digest):
+    step = ORIGINAL["after_read"](row, attempt, body_digest)
     absent = isinstance(row, tables.Row) and row.value is None
     return Step.SEND if absent else step
 
 
-def expire_begun_records(row, attempt, body):
-    step = GOOD["after_read"](row, attempt, body)
+def expire_begun_records(row, attempt, body_digest):
+    step = ORIGINAL["after_read"](row, attempt, body_digest)
     return Step.CLAIM_AGAIN if step is Step.WAIT else step
 
 
 def fence_off_other_attempts(row, attempt):
     if row.value and row.value["state"] == decide.State.BEGUN:
         return row.version
-    return GOOD["fence_version"](row, attempt)
+    return ORIGINAL["fence_write_version"](row, attempt)
 
 
 def write_no_fence(row, attempt):
@@ -50,11 +50,11 @@
 def keep_not_run_of_others(row, attempt):
     if row.value and row.value["state"] == decide.State.NOT_RUN:
         return None
-    return GOOD["fence_version"](row, attempt)
+    return ORIGINAL["fence_write_version"](row, attempt)
 
 
 def release_after_send(failure, has_output):
-    end = GOOD["after_run"](failure, has_output)
+    end = ORIGINAL["after_run"](failure, has_output)
     return decide.RunEnd.RELEASE if end is decide.RunEnd.LEAVE else end
 
 
@@ -72,32 +72,32 @@
         if row.value and row.value["state"] == decide.State.DONE:
             return row
         return tables.Row(write.key, write.value, write.if_version)
-    return GOOD["row_after_completion"](result, write)
+    return ORIGINAL["row_after_completion"](result, write)
 
 
 def assume_written_when_lost(result, write):
     if isinstance(result, kinds.Failure):
         return tables.Row(write.key, write.value, write.if_version)
-    return GOOD["row_after_completion"](result, write)
+    return ORIGINAL["row_after_completion"](result, write)
 
 
-TWICE = "runs more than once"
-BROKEN = "told not-run, and runs"
-THIRD = "the record lets another attempt run"
-UNRUN = "told complete, and has not run"
+RAN_TWICE = "runs more than once"
+RAN_AFTER_NOT_RUN = "told not-run, and runs"
+THIRD_MAY_RUN = "the record lets another attempt run"
+COMPLETE_WITHOUT_RUN = "told complete, and has not run"
 LEFT_BEGUN = "left begun although told not-run"
 FAULTS = [
-    ("after_write", send_after_lost_answer, THIRD),
-    ("after_read", send_when_absent, THIRD),
-    ("after_read", expire_begun_records, TWICE),
-    ("fence_version", fence_off_other_attempts, THIRD),
-    ("fence_version", write_no_fence, LEFT_BEGUN),
-    ("fence_version", keep_not_run_of_others, LEFT_BEGUN),
-    ("after_run", release_after_send, BROKEN),
-    ("row_after_completion", assume_written, UNRUN),
-    ("row_after_completion", assume_written_unless_done, UNRUN),
-    ("row_after_completion", assume_written_when_lost, UNRUN),
-    ("find_ran_answer", accept_never_as_answer, UNRUN),
+    ("after_write", send_after_lost_answer, THIRD_MAY_RUN),
+    ("after_read", send_when_absent, THIRD_MAY_RUN),
+    ("after_read", expire_begun_records, RAN_TWICE),
+    ("fence_write_version", fence_off_other_attempts, THIRD_MAY_RUN),
+    ("fence_write_version", write_no_fence, LEFT_BEGUN),
+    ("fence_write_version", keep_not_run_of_others, LEFT_BEGUN),
+    ("after_run", release_after_send, RAN_AFTER_NOT_RUN),
+    ("row_after_completion", assume_written, COMPLETE_WITHOUT_RUN),
+    ("row_after_completion", assume_written_unless_done, COMPLETE_WITHOUT_RUN),
+    ("row_after_completion", assume_written_when_lost, COMPLETE_WITHOUT_RUN),
+    ("find_ran_answer", accept_never_as_answer, COMPLETE_WITHOUT_RUN),
 ]
 
 
--- a/sycamoreshed/idempotency/tests/test_rejections.py
+++ b/sycamoreshed/idempotency/tests/test_rejections.py
@@ -47,7 +47,7 @@
     )
     prior = prior_runs.PriorRuns()
     if is_seen:
-        prior.add(keys.key_names(request).record_key)
+        prior.add(keys.request_keys(request).record_key)
     lookups = FakeLookups(list(answers))
     log = trace.Trace(log=logs.DecisionLog(), clock=lambda: 0.0)
     part = rejections.Rejecter(prior_runs=prior, lookups=lookups, trace=log)
@@ -64,7 +64,10 @@
     ],
 )
 def test_rejection_under_overload(repeat, is_seen, outcome):
-    """A rejection without any read must not report a key as not run."""
+    """A rejection without any read must not report a key as not run.
+
+    The exception is a caller that says that the request is its first.
+    """
     part, lookups, request = make(repeat=repeat, is_seen=is_seen)
     rejection = part.reject_unread(request, UNAVAILABLE)
     assert kinds.answer_for(rejection).outcome is outcome
@@ -90,7 +93,11 @@
 async def test_rejection_while_store_is_unavailable(
     row, repeat, answers, outcome
 ):
-    """A key that may have run must not be reported as "not run" unread."""
+    """A key that may have run must not be reported as "not run" unread.
+
+    It may be if all endpoints report "never", or the caller says that the
+    request is its first.
+    """
     part, _, request = make(repeat=repeat, answers=answers)
     rejection = await part.reject_by_record(request, UNAVAILABLE, row)
     assert kinds.answer_for(rejection).outcome is outcome
@@ -108,10 +115,13 @@
 async def test_rejection_of_an_attempt(
     earlier_may_have_run, answers, outcome, lookup_count
 ):
-    """An attempt that could not read its record must not report "not run"."""
+    """An attempt that could not read its record must not report "not run".
+
+    It may if all endpoints report "never".
+    """
     part, lookups, request = make(answers=answers)
     failure = UNAVAILABLE._replace(earlier_may_have_run=earlier_may_have_run)
-    rejection = await part.reject_after_claim(request, failure)
+    rejection = await part.reject_unsent(request, failure)
     assert kinds.answer_for(rejection).outcome is outcome
     assert lookups.count == lookup_count
 
@@ -121,4 +131,8 @@
     prior = prior_runs.PriorRuns(max_keys=2)
     for key in ("a", "b", "a", "c"):
         prior.add(key)
-    assert [prior.has_other(key) for key in "abc"] == [True, False, True]
+    assert [prior.has_other_request(key) for key in "abc"] == [
+        True,
+        False,
+        True,
+    ]
--- a/sycamoreshed/idempotency/tests/test_settling.py
+++ b/sycamoreshed/idempotency/tests/test_settling.py
@@ -29,7 +29,7 @@
     async def read(self, _key):
         return self._rows.pop(0)
 
-    def confirm_write(self):
+    def report_write_applied(self):
         self.confirmed += 1
 
 
--- a/sycamoreshed/idempotency/trace.py
+++ b/sycamoreshed/idempotency/trace.py
@@ -31,7 +31,7 @@
 
         Parameters
         ----------
-        what : str
+        step_name : str
             Name of the step.
         row : Row, Failure or None
         **fields
@@ -44,7 +44,7 @@
 
         Parameters
         ----------
-        what : str
+        step_name : str
             Name of the step.
         write : Write
             Of a record.
@@ -70,7 +70,8 @@
         row : Row, Failure or None
             The record of its key; None if it was not read.
         is_seen : bool
-            Whether this instance has handled another request with the key.
+            Whether another request with the key is in progress, or may
+            have run, on this instance.
         """
         self._write(
             "refuse key",
