--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -30,7 +30,7 @@
 
     def __init__(self, config):
         self._config = config
-        self.reports = {
+        self.load_reports = {
             item.name: ({"running": random.randint(0, 4), "waiting": 0}, 0.0)
             for item in config.endpoints["language"]
         }
--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -156,11 +156,13 @@
     for number in range(1, INSTANCES):
         zone = ZONES[number % len(ZONES)]
         value = [1, 0, f"10.1.{number // 250}.{number % 250}:9", zone, zone[0]]
-        held.take(members.TOPIC, f"entry-{number:03d}", value, ("p", 1), 0.0)
+        held.receive(
+            members.TOPIC, f"entry-{number:03d}", value, ("p", 1), 0.0
+        )
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    held.hear_beats({zone: 5 for zone in ZONES}, 0.0)
-    near = [item.name for item in held.near(1.0)]
+    held.merge_heartbeats({zone: 5 for zone in ZONES}, 0.0)
+    near = [item.name for item in held.alive_in_zone(1.0)]
     return {
         "records of 410 instances MiB": round(size / 2**20, 3),
         "alive": timed(lambda: held.alive(1.0), 100),
--- a/sycamoreshed/membership/evidence.py
+++ b/sycamoreshed/membership/evidence.py
@@ -190,7 +190,7 @@
         if now - self._checked.get(name, -CHECK_S) < CHECK_S:
             return False
         self._checked[name] = now
-        instances = len(self._gossip.view.near(now))
+        instances = len(self._gossip.view.alive_in_zone(now))
         tally = self._pooled(name, instances, now)
         rest = [
             self._pooled(item, instances, now)
--- a/sycamoreshed/membership/gossip.py
+++ b/sycamoreshed/membership/gossip.py
@@ -87,7 +87,7 @@
         self._failed = {}
         self._tasks = {}
         self._wakes = {}
-        self.hang("beat", write=self._write_beats, read=self._read_beats)
+        self.add_field("beat", write=self._write_beats, read=self._read_beats)
 
     @property
     def has_seeds(self):
@@ -104,7 +104,7 @@
         member = self._view.member(name)
         return None if member is None else member.address
 
-    def hang(self, name, *, write, read):
+    def add_field(self, name, *, write, read):
         """Hang a field on all messages; see `Field`."""
         self._fields[name] = Field(write=write, read=read)
 
@@ -214,7 +214,7 @@
         name = message["name"]
         via = self._links.take(message)
         news = [
-            self._view.take(topic, key, value, via, now)
+            self._view.receive(topic, key, value, via, now)
             for topic, key, value in message.get("records", ())
         ]
         if any(news):
@@ -230,7 +230,7 @@
         return self._view.beats
 
     def _read_beats(self, value, _name, now):
-        self._view.hear_beats(value, now)
+        self._view.merge_heartbeats(value, now)
 
     def _keep_tasks(self, now):
         avoid = {name for name, until in self._avoid.items() if until > now}
--- a/sycamoreshed/membership/listing.py
+++ b/sycamoreshed/membership/listing.py
@@ -77,7 +77,10 @@
 
     def _is_reader(self):
         zone = self._settings.zone
-        names = [item.name for item in self._gossip.view.near(self._clock())]
+        names = [
+            item.name
+            for item in self._gossip.view.alive_in_zone(self._clock())
+        ]
         return self._settings.instance in rendezvous.top(
             f"list {zone}", names, READERS
         )
--- a/sycamoreshed/membership/membership.py
+++ b/sycamoreshed/membership/membership.py
@@ -32,7 +32,7 @@
         notes.on_change(self._forget)
 
     @property
-    def reports(self):
+    def load_reports(self):
         """Load reports by endpoint: (report, monotonic seconds)."""
         return self._watching.reports
 
@@ -73,7 +73,7 @@
             or self._is_due(item.name, now)
         ]
 
-    def withhold(self, func):
+    def exclude(self, func):
         """Give nothing new to endpoints that a function names.
 
         Parameters
--- a/sycamoreshed/membership/tests/test_exchange.py
+++ b/sycamoreshed/membership/tests/test_exchange.py
@@ -47,7 +47,7 @@
     def take(self, message, now=0.0):
         via = self.links.take(message)
         for topic, key, value in message["records"]:
-            self.view.take(topic, key, value, via, now)
+            self.view.receive(topic, key, value, via, now)
 
 
 def exchange(one, other, lost=None):
@@ -149,14 +149,14 @@
 def test_instances_of_other_zones_are_never_suspected_one_by_one():
     one, far = Side("a"), Side("b", zone="s-a")
     exchange(one, far)
-    one.view.hear_beats({"s-a": 1}, 0.0)
+    one.view.merge_heartbeats({"s-a": 1}, 0.0)
     assert not one.view.suspect("b", 0.0)
     assert live(one, 9.0) == ["a", "b"]
     assert one.view.lost_zones(10.5) == {"s-a"}
     assert live(one, 10.5) == ["a"]
-    one.view.hear_beats({"s-a": 1}, 11.0)
+    one.view.merge_heartbeats({"s-a": 1}, 11.0)
     assert live(one, 11.0) == ["a"]
-    one.view.hear_beats({"s-a": 2}, 12.0)
+    one.view.merge_heartbeats({"s-a": 2}, 12.0)
     assert live(one, 12.5) == ["a", "b"]
 
 
--- a/sycamoreshed/membership/tests/test_membership.py
+++ b/sycamoreshed/membership/tests/test_membership.py
@@ -48,7 +48,7 @@
     def set_listed(self, addresses):
         self.addresses = set(addresses)
 
-    def near(self, now):
+    def alive_in_zone(self, now):
         return [None, None]
 
     def lost_zones(self, now):
--- a/sycamoreshed/membership/view.py
+++ b/sycamoreshed/membership/view.py
@@ -99,7 +99,7 @@
                     func(key, self._records.get(topic, key), now)
         return changed
 
-    def take(self, topic, key, value, via, now):
+    def receive(self, topic, key, value, via, now):
         """Take in a record of a peer.
 
         Returns
@@ -148,7 +148,7 @@
         """Raise the counter of the own zone."""
         self._beats[self._settings.zone] += 1
 
-    def hear_beats(self, beats, now):
+    def merge_heartbeats(self, beats, now):
         """Take in a peer's counters."""
         for zone, beat in beats.items():
             if beat > self._beats.get(zone, -1):
@@ -190,7 +190,7 @@
             )
         return self._alive
 
-    def near(self, now):
+    def alive_in_zone(self, now):
         """Return the live members of the own zone."""
         zone = self._settings.zone
         return [item for item in self.alive(now) if item.zone == zone]
@@ -203,7 +203,7 @@
             for item in self.known()
             if item.zone != own.zone and item.state == members.State.LIVE
         ]
-        return members.partners(own, self.near(now), far, avoid=avoid)
+        return members.partners(own, self.alive_in_zone(now), far, avoid=avoid)
 
     def lost_zones(self, now):
         """Return the zones that were heard of once and are silent now."""
--- a/sycamoreshed/membership/watching.py
+++ b/sycamoreshed/membership/watching.py
@@ -107,7 +107,7 @@
         """Return endpoints to watch, and whether as the first watcher."""
         zone = self._settings.zone
         own = self._settings.instance
-        names = [item.name for item in self._gossip.view.near(now)]
+        names = [item.name for item in self._gossip.view.alive_in_zone(now)]
         basis = (self._notes.config.version, names)
         if self._basis == basis:
             return self._duties
--- a/sycamoreshed/notes/sync.py
+++ b/sycamoreshed/notes/sync.py
@@ -67,7 +67,9 @@
         self._announcement = _Announcement(0, "")
         self._peer_synced = asyncio.Event()
         notes.on_change(gossip.wake)
-        gossip.hang("version", write=self._own_version, read=self._on_version)
+        gossip.add_field(
+            "version", write=self._own_version, read=self._on_version
+        )
 
     async def poll(self):
         """Poll the table for new notes."""
@@ -91,7 +93,10 @@
 
     def _is_poller(self):
         zone = self._settings.zone
-        names = [item.name for item in self._gossip.view.near(self._clock())]
+        names = [
+            item.name
+            for item in self._gossip.view.alive_in_zone(self._clock())
+        ]
         pollers = rendezvous.top(f"poll {zone}", names, POLLERS_PER_ZONE)
         return self._settings.instance in pollers or not names
 
--- a/sycamoreshed/notes/tests/test_sync.py
+++ b/sycamoreshed/notes/tests/test_sync.py
@@ -21,7 +21,7 @@
     def __init__(self):
         self.announce = None
 
-    def hang(self, _name, *, write, read):
+    def add_field(self, _name, *, write, read):
         """Store the callback for the versions that peers announce."""
         self.announce = read
 
--- a/sycamoreshed/orders/orders.py
+++ b/sycamoreshed/orders/orders.py
@@ -28,7 +28,7 @@
     loading = unavailable.UnavailableEngines(
         gossip=core.part("gossip"), instance=core.settings.instance
     )
-    core.part("membership").withhold(loading.names)
+    core.part("membership").exclude(loading.names)
     lease = _lease(core)
     held = _leadership(core, lease)
     part = _reconciler(core, lease, held, loading)
--- a/sycamoreshed/routing/router.py
+++ b/sycamoreshed/routing/router.py
@@ -41,7 +41,7 @@
         self._turn = 0
         self._prefixes = prefixes.Prefixes()
         self.loads = loads.Loads(
-            reports=lambda: membership.reports, hedging=settings.hedging
+            reports=lambda: membership.load_reports, hedging=settings.hedging
         )
 
     def choose(self, request, stage, now, *, avoid=(), prefix=None):
