--- a/sycamoreshed/entry/backlog.py
+++ b/sycamoreshed/entry/backlog.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-__all__ = ["drained"]
+__all__ = ["wait_until_read"]
 
 LOOK_S = 0.02
 # Consecutive looks without a new request.
@@ -11,7 +11,7 @@
 MOST_S = 1.0
 
 
-async def drained(taken, clock):
+async def wait_until_read(taken, clock):
     """Return once no new request has been read for a few looks.
 
     Parameters
--- a/sycamoreshed/entry/callers.py
+++ b/sycamoreshed/entry/callers.py
@@ -19,7 +19,7 @@
 
 # A caller that sends its body more slowly than this holds a handler, and
 # with it the end of a drain, for nothing.
-BODY_S = 10.0
+BODY_TIMEOUT_S = 10.0
 # Counted in the place of an outcome when the caller went away.
 GONE = "gone"
 
@@ -63,9 +63,9 @@
         """Latest deadline of any request taken in, monotonic seconds."""
         return self._latest
 
-    async def drained(self):
+    async def wait_until_read(self):
         """Return once the requests that have arrived are read."""
-        await backlog.drained(lambda: self._taken, self._core.clock)
+        await backlog.wait_until_read(lambda: self._taken, self._core.clock)
 
     def routes(self):
         """Return the routes of the interface."""
@@ -139,7 +139,7 @@
 
     async def _read(self, http, now):
         try:
-            async with asyncio.timeout(BODY_S):
+            async with asyncio.timeout(BODY_TIMEOUT_S):
                 raw = await http.read()
         except TimeoutError:
             return kinds.Failure(
--- a/sycamoreshed/entry/parsing.py
+++ b/sycamoreshed/entry/parsing.py
@@ -18,7 +18,7 @@
 DEADLINE = "Deadline-Ms"
 PRIORITY = "Priority"
 LONGEST_KEY = 200
-LONGEST_DEADLINE_MS = 600_000.0
+MAX_DEADLINE_MS = 600_000.0
 REPEATS = {"true": True, "false": False}
 PRIORITIES = frozenset("0123456789")
 DEFAULT_PRIORITY = "1"
@@ -158,6 +158,6 @@
         value = float(text)
     except ValueError:
         value = math.nan
-    if not math.isfinite(value) or not 0 < value <= LONGEST_DEADLINE_MS:
+    if not math.isfinite(value) or not 0 < value <= MAX_DEADLINE_MS:
         raise ValueError(f"{DEADLINE} must be over 0, at most 600000")
     return value / 1000
--- a/sycamoreshed/entry/servers.py
+++ b/sycamoreshed/entry/servers.py
@@ -79,7 +79,7 @@
     logger.info("stopping: not ready any more")
     callers = core.part("callers")
     await asyncio.sleep(settings.grace_s)
-    await callers.drained()
+    await callers.wait_until_read()
     callers.accepting = False
     end = core.clock() + settings.drain_s
     while callers.in_flight:
--- a/sycamoreshed/entry/tests/test_servers.py
+++ b/sycamoreshed/entry/tests/test_servers.py
@@ -17,7 +17,7 @@
         self.latest_deadline = deadline
         self.accepting = True
 
-    async def drained(self):
+    async def wait_until_read(self):
         """Return at once: nothing waits to be read."""
 
     @property
--- a/sycamoreshed/gateway/handler.py
+++ b/sycamoreshed/gateway/handler.py
@@ -132,7 +132,7 @@
 
     async def drained(self):
         """Return once the requests that have arrived are read."""
-        await backlog.drained(lambda: self._taken, self._clock)
+        await backlog.wait_until_read(lambda: self._taken, self._clock)
 
     async def _admit(self, http, head, began):
         """Return the `Request`, or the `Failure` that refuses it."""
--- a/tests/test_api_page.py
+++ b/tests/test_api_page.py
@@ -38,8 +38,8 @@
         f"`{parsing.REPEAT}`",
         f"`{parsing.DEADLINE}`",
         f"`{parsing.PRIORITY}`",
-        f"at most {parsing.LONGEST_DEADLINE_MS:.0f}",
-        f"| {callers.BODY_S:.0f} s |",
+        f"at most {parsing.MAX_DEADLINE_MS:.0f}",
+        f"| {callers.BODY_TIMEOUT_S:.0f} s |",
         f"first {metrics.TEAM_LABELS} teams",
     ],
 )
