--- a/sycamoreshed/admission/__init__.py
+++ b/sycamoreshed/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Deciding which requests may start, and when."""
+"""Admission control: rate limits, queues and concurrency limits."""
--- a/sycamoreshed/admission/admission.py
+++ b/sycamoreshed/admission/admission.py
@@ -1,4 +1,4 @@
-"""Admission: which request may run here, and in what order."""
+"""Admission of requests, by rate limits and concurrency limits."""
 
 import functools
 import itertools
@@ -15,14 +15,14 @@
 
 
 def gate_service(config, pipeline):
-    """Return the service whose slots bound a pipeline.
+    """Return the service whose slots limit a pipeline.
 
     Notes
     -----
-    That is its first engine, since engines are what is scarce, else the
-    service of its first stage.  Requests are held back before their
-    first stage and not between stages: what is refused there has cost
-    nothing and truly did not run.
+    That is its first engine, since engines are the scarce resource, else
+    the service of its first stage.  Requests wait before their first stage
+    and not between stages: a request rejected there has cost nothing and
+    has certainly not run.
     """
     stages = config.sections["pipelines"][pipeline]["stages"]
     services = config.sections["services"]
@@ -33,15 +33,15 @@
 
 
 class Admission:
-    """A gate for each service, and the teams' limits before them.
+    """Checks teams' rate limits and queues requests for each service.
 
     Parameters
     ----------
     settings : Settings
     limits : Limits or None
-        None for no limits.
+        Rate limits of the teams; None for no limits.
     live_count : callable
-        Takes monotonic seconds, returns the number of live instances.
+        Takes the monotonic time, returns the number of live instances.
     clock : callable
     """
 
@@ -51,11 +51,11 @@
         self._live_count = live_count
         self._clock = clock
         self._gates = {}
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
     @property
     def in_flight(self):
-        """Requests running or waiting."""
+        """Number of requests running or waiting."""
         return sum(
             gate.running + gate.waiting for gate in self._gates.values()
         )
@@ -72,56 +72,57 @@
         Returns
         -------
         Ticket or Failure
-            A failure is returned at once when waiting would be in vain.
+            A failure is returned at once if the team is over its limit or
+            the request would probably end late.
         """
         service = gate_service(request.config, request.pipeline)
-        gate = self._gate(service)
-        slots = _slots(request.config, service)
+        gate = self._get_gate(service)
+        slots = _service_slots(request.config, service)
         gate.limiter.resize(slots, self._live_count(now))
-        entry = self._entry(request, gate, now)
-        refusal = gate.refusal(entry, request.deadline, now)
-        if refusal is None:
-            refusal = self._over_limit(request, now)
-        if refusal is not None:
-            return refusal
+        entry = self._queue_entry(request, gate, now)
+        rejection = gate.rejection(entry, request.deadline, now)
+        if rejection is None:
+            rejection = self._check_limit(request, now)
+        if rejection is not None:
+            return rejection
         seconds = request.spec["deadline_ms"] / 1000
         return await gate.acquire(entry, seconds, now)
 
     def release(self, ticket, now):
-        """Give a slot back."""
+        """Return the slot of a ticket."""
         ticket.gate.release(ticket, now)
 
-    def _over_limit(self, request, now):
+    def _check_limit(self, request, now):
         spec = request.config.entry("teams", request.team)
         if self._limits is None or spec is None:
             return None
         return self._limits.check(request.team, spec, now)
 
-    def _entry(self, request, gate, now):
+    def _queue_entry(self, request, gate, now):
         team = request.config.entry("teams", request.team) or {}
-        # Begun later than this it would most likely end late, and have
-        # taken a slot from one that would not.
-        need = gate.run_time(request.pipeline).upper_bound(now)
+        # A request that starts later would probably end late, and occupy
+        # a slot that another request could use in time.
+        run_time_s = gate.run_time_estimate(request.pipeline).upper_bound(now)
         return fairqueue.Entry(
             request=request.id,
             team=request.team,
             pipeline=request.pipeline,
             weight=team.get("weight", DEFAULT_WEIGHT),
-            rank=(request.priority, request.deadline, next(self._numbers)),
-            give_up=request.deadline - need,
+            rank=(request.priority, request.deadline, next(self._sequence)),
+            start_deadline=request.deadline - run_time_s,
         )
 
-    def _gate(self, service):
+    def _get_gate(self, service):
         gate = self._gates.get(service)
         if gate is None:
             settings = self._settings
             limiter = limiters.LIMITERS.get(settings.limiter)
             gate = self._gates[service] = gates.Gate(
-                queue=fairqueue.ORDERS.get(settings.fairness)(),
-                limiter=limiter(most=settings.slots),
-                most=settings.queue,
+                queue=fairqueue.DISCIPLINES.get(settings.fairness)(),
+                limiter=limiter(max_limit=settings.slots),
+                max_waiting=settings.queue,
                 clock=self._clock,
-                estimating=settings.limiter != "fixed",
+                reject_by_estimate=settings.limiter != "fixed",
             )
         return gate
 
@@ -131,13 +132,13 @@
     return sum(endpoint.slots for endpoint in endpoints)
 
 
-def _slots(config, service):
+def _service_slots(config, service):
     return max(1, _total_slots(config.endpoints.get(service, ())))
 
 
 @kernel.plugin("admission", needs=("limits", "membership"))
 async def admission(core):
-    """Provide admission."""
+    """Provide the `Admission` of this instance."""
     yield Admission(
         settings=core.settings,
         limits=core.part("limits"),
--- a/sycamoreshed/admission/budget.py
+++ b/sycamoreshed/admission/budget.py
@@ -1,20 +1,21 @@
-"""A budget for retries and hedges, as a share of the traffic."""
+"""Budget for retries and hedges, as a share of the traffic."""
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """Lets through retries up to a share of first attempts.
+    """Token bucket that limits retries to a share of first attempts.
 
-    Without it a stage that fails makes every caller send two or three
-    times the traffic, which keeps it failing after the cause has gone.
+    Without it the retries for a failing stage multiply its traffic by two
+    or three, which keeps it failing after the cause is gone.
 
     Parameters
     ----------
     share : float
-        Retries for each first attempt.
+        Retries allowed per first attempt.
     reserve : float
-        Retries allowed when there is little traffic.
+        Size of the bucket, which is full at the start: retries that are
+        allowed when there is little traffic.
 
     Examples
     --------
@@ -29,20 +30,20 @@
 
     def __init__(self, *, share=0.1, reserve=10.0):
         self._share = share
-        self._most = reserve
+        self._max_tokens = reserve
         self._tokens = reserve
 
     @property
     def tokens(self):
-        """Retries that may be sent now."""
+        """Number of retries allowed now."""
         return self._tokens
 
     def record_first_attempt(self):
-        """Count a first attempt."""
-        self._tokens = min(self._most, self._tokens + self._share)
+        """Add the share that a first attempt allows."""
+        self._tokens = min(self._max_tokens, self._tokens + self._share)
 
     def try_spend(self):
-        """Take one retry; return whether there was one."""
+        """Take a token for one retry; return whether there was one."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/sycamoreshed/admission/fairqueue.py
+++ b/sycamoreshed/admission/fairqueue.py
@@ -1,8 +1,8 @@
-"""Orders in which waiting requests are taken.
+"""Queueing disciplines for requests that wait for a slot.
 
-`WeightedFair` is start-time fair queueing between teams; within a team
-the lower priority number goes first, then the earlier deadline.  `Fifo`
-is the baseline.
+`WeightedFair` applies start-time fair queueing between teams; within a
+team the lower priority number goes first, then the earlier deadline.
+`Fifo` is the baseline.
 """
 
 import bisect
@@ -14,11 +14,11 @@
 
 from sycamoreshed.kernel import registry
 
-__all__ = ["ORDERS", "Entry", "Fifo", "WeightedFair"]
+__all__ = ["DISCIPLINES", "Entry", "Fifo", "WeightedFair"]
 
-ORDERS = registry.Registry(kind="admission order")
-SWEEP_EVERY = 256
-_RANK = operator.attrgetter("rank")
+DISCIPLINES = registry.Registry(kind="admission order")
+SWEEP_INTERVAL = 256
+_get_rank = operator.attrgetter("rank")
 
 
 class Entry(typing.NamedTuple):
@@ -28,13 +28,14 @@
     ----------
     request, team, pipeline : str
     weight : float
-        Of the team.
+        Weight of the team.
     rank : tuple
-        Priority, deadline, number; lower goes first within the team.
-    give_up : float
-        Monotonic seconds after which it cannot be answered in time.
-    woken : asyncio.Future or None
-        Takes a ticket or a failure.
+        Priority, deadline and sequence number; the lowest of a team goes
+        first.
+    start_deadline : float
+        Monotonic time from which on the request is too late to start.
+    decision : asyncio.Future or None
+        Result of the wait: None if a slot was assigned, else a failure.
     """
 
     request: str
@@ -42,13 +43,13 @@
     pipeline: str
     weight: float
     rank: tuple
-    give_up: float
-    woken: typing.Any = None
+    start_deadline: float
+    decision: typing.Any = None
 
 
-@ORDERS.register("fifo")
+@DISCIPLINES.register("fifo")
 class Fifo:
-    """First come, first served; the newest is refused when it is full."""
+    """First come, first served; an overflow evicts the newest entry."""
 
     def __init__(self):
         self._entries = collections.deque()
@@ -57,28 +58,28 @@
         return len(self._entries)
 
     def add(self, entry):
-        """Put an entry at the end."""
+        """Append an entry."""
         self._entries.append(entry)
 
     def pop(self):
-        """Take the next entry."""
+        """Remove and return the oldest entry."""
         return self._entries.popleft()
 
     def remove(self, entry):
-        """Take out one that gave up."""
+        """Remove an entry that no longer waits."""
         self._entries.remove(entry)
 
-    def push_out(self):
-        """Take out the entry that has to go when the queue is too long."""
+    def evict(self):
+        """Remove and return the entry to reject from a full queue."""
         return self._entries.pop()
 
-    def ahead(self, team, weight):
-        """Return how many would be taken before a new entry."""
+    def count_ahead(self, team, weight):
+        """Return how many entries would be served before a new one."""
         return len(self._entries)
 
 
 class _Team:
-    """The queue of one team; ``tag`` is the start tag of its head."""
+    """The queue of one team; ``tag`` is the start tag of its first entry."""
 
     __slots__ = ("entries", "in_heap", "tag", "weight")
 
@@ -89,16 +90,16 @@
         self.weight = 1.0
 
 
-@ORDERS.register("weighted_fair")
+@DISCIPLINES.register("weighted_fair")
 class WeightedFair:
     """Start-time fair queueing between teams.
 
     Notes
     -----
-    A team that stayed under its share has a start tag equal to the
-    virtual time, so it is taken before the backlog of any other.  State
-    is held for teams that wait or were served lately; the rest is swept,
-    so known teams cost nothing.
+    A team that used less than its share has a start tag equal to the
+    virtual time, so it is served before the backlog of any other team.
+    Only teams that wait or were served recently have state.  That of idle
+    teams is removed regularly, so that they cost no memory.
 
     Examples
     --------
@@ -113,30 +114,30 @@
     def __init__(self):
         self._teams = {}
         self._heap = []
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._length = 0
-        self._served = 0
-        self._pushes = 0
+        self._serve_count = 0
+        self._push_count = 0
 
     def __len__(self):
         return self._length
 
     @property
-    def known(self):
-        """Number of teams that state is held for."""
+    def team_count(self):
+        """Number of teams that have state."""
         return len(self._teams)
 
     def add(self, entry):
-        """Put an entry in its team's queue."""
-        team = self._team(entry.team, entry.weight)
+        """Insert an entry into its team's queue."""
+        team = self._get_team(entry.team, entry.weight)
         if not team.entries:
-            team.tag = max(team.tag, self._virtual)
-        bisect.insort(team.entries, entry, key=_RANK)
+            team.tag = max(team.tag, self._virtual_time)
+        bisect.insort(team.entries, entry, key=_get_rank)
         self._length += 1
-        self._push(entry.team, team)
+        self._push_to_heap(entry.team, team)
 
     def pop(self):
-        """Take the head of the team whose start tag is least."""
+        """Remove and return the first entry of the team with the least tag."""
         while True:
             _, _, name = heapq.heappop(self._heap)
             team = self._teams[name]
@@ -145,27 +146,28 @@
                 break
         entry = team.entries.pop(0)
         self._length -= 1
-        self._serve(team)
+        self._record_service(team)
         if team.entries:
-            self._push(name, team)
+            self._push_to_heap(name, team)
         elif not self._length:
-            self._forget()
+            self._reset()
         return entry
 
     def remove(self, entry):
-        """Take out one that gave up."""
+        """Remove an entry that no longer waits."""
         entries = self._teams[entry.team].entries
-        index = bisect.bisect_left(entries, entry.rank, key=_RANK)
+        index = bisect.bisect_left(entries, entry.rank, key=_get_rank)
         del entries[index]
         self._length -= 1
 
-    def push_out(self):
-        """Take out the last of the team that waits most for its weight.
+    def evict(self):
+        """Remove and return the last entry of the longest team queue.
 
         Notes
         -----
-        Refusing the newcomer instead would let one team that filled the
-        queue shut out all others.
+        Lengths are relative to the weights of the teams.  If the new entry
+        were rejected instead, one team that fills the queue would block
+        all others.
         """
         longest = max(
             (team for team in self._teams.values() if team.entries),
@@ -174,11 +176,11 @@
         self._length -= 1
         return longest.entries.pop()
 
-    def ahead(self, team, weight):
-        """Return how many would be taken before a new entry."""
+    def count_ahead(self, team, weight):
+        """Return how many entries would be served before a new one."""
         own = self._teams.get(team)
         waiting = len(own.entries) if own else 0
-        tag = max(own.tag if own else 0.0, self._virtual)
+        tag = max(own.tag if own else 0.0, self._virtual_time)
         tag += waiting / weight
         count = waiting
         for name, other in self._teams.items():
@@ -188,41 +190,41 @@
             count += min(max(turns, 0), len(other.entries))
         return count
 
-    def _serve(self, team):
-        self._virtual = max(self._virtual, team.tag)
+    def _record_service(self, team):
+        self._virtual_time = max(self._virtual_time, team.tag)
         team.tag += 1.0 / team.weight
-        self._served += 1
-        if self._served % SWEEP_EVERY == 0:
-            self._sweep()
+        self._serve_count += 1
+        if self._serve_count % SWEEP_INTERVAL == 0:
+            self._remove_idle_teams()
 
-    def _team(self, name, weight):
+    def _get_team(self, name, weight):
         team = self._teams.get(name)
         if team is None:
-            team = self._teams[name] = _Team(self._virtual)
+            team = self._teams[name] = _Team(self._virtual_time)
         team.weight = weight
         return team
 
-    def _push(self, name, team):
+    def _push_to_heap(self, name, team):
         if not team.in_heap:
             team.in_heap = True
-            # Equal tags go by order of arrival, or names early in the
-            # alphabet would go first for ever.
-            self._pushes += 1
-            heapq.heappush(self._heap, (team.tag, self._pushes, name))
+            # Equal tags are served in the order of insertion; comparing
+            # the names instead would always prefer the same teams.
+            self._push_count += 1
+            heapq.heappush(self._heap, (team.tag, self._push_count, name))
 
-    def _forget(self):
-        """Begin anew: nobody waits, so nobody was kept from anything."""
+    def _reset(self):
+        """Drop all state: in an empty queue no team has a claim."""
         self._teams.clear()
         self._heap.clear()
-        self._virtual = 0.0
+        self._virtual_time = 0.0
 
-    def _sweep(self):
+    def _remove_idle_teams(self):
         idle = [
             name
             for name, team in self._teams.items()
             if not team.entries
             and not team.in_heap
-            and team.tag <= self._virtual
+            and team.tag <= self._virtual_time
         ]
         for name in idle:
             del self._teams[name]
--- a/sycamoreshed/admission/gate.py
+++ b/sycamoreshed/admission/gate.py
@@ -1,4 +1,4 @@
-"""The queue and the slots before one service."""
+"""Concurrency limit and queue of the requests to one service."""
 
 import asyncio
 import collections
@@ -10,93 +10,95 @@
 
 __all__ = ["Gate", "Ticket"]
 
-LEAST_RETRY_S = 0.5
+MIN_RETRY_S = 0.5
 
 
 class Ticket(typing.NamedTuple):
-    """Leave to run; given back by `Gate.release`.
+    """A slot assigned to a request, to be returned with `Gate.release`.
 
     Parameters
     ----------
     request, team, pipeline : str
     gate : Gate
-    started : float
+    started_at : float
         Monotonic seconds.
     deadline_s : float
-        Seconds the pipeline gives in all.
+        Time limit of the pipeline.
     """
 
     request: str
     team: str
     pipeline: str
     gate: typing.Any
-    started: float
+    started_at: float
     deadline_s: float
 
 
 class Gate:
-    """Runs a limited number of requests and queues a bounded number.
+    """Limits the running requests and queues a bounded number of others.
 
     Parameters
     ----------
     queue : WeightedFair or Fifo
     limiter : Adaptive or Fixed
-    most : int
-        Requests that may wait.
+    max_waiting : int
+        Maximum length of the queue.
     clock : callable
-    estimating : bool
-        Refuse on arrival what would wait too long.
+    reject_by_estimate : bool
+        Whether to reject new requests that would probably end late.
     """
 
-    def __init__(self, *, queue, limiter, most, clock, estimating=True):
+    def __init__(
+        self, *, queue, limiter, max_waiting, clock, reject_by_estimate=True
+    ):
         self._queue = queue
-        self._most = most
+        self._max_waiting = max_waiting
         self._clock = clock
-        self._estimating = estimating
-        self._times = collections.defaultdict(estimates.Estimate)
+        self._reject_by_estimate = reject_by_estimate
+        self._run_times = collections.defaultdict(estimates.Estimate)
         self.limiter = limiter
         self.running = 0
 
     @property
     def waiting(self):
-        """Requests in the queue."""
+        """Number of requests in the queue."""
         return len(self._queue)
 
-    def run_time(self, pipeline):
-        """Return the `Estimate` of a pipeline's time once it runs."""
-        return self._times[pipeline]
+    def run_time_estimate(self, pipeline):
+        """Return the `Estimate` of a pipeline's run time, without queueing."""
+        return self._run_times[pipeline]
 
-    def refusal(self, entry, deadline, now):
-        """Return a failure if a new entry would not be done in time.
+    def rejection(self, entry, deadline, now):
+        """Return a failure if a new entry would end late, or None.
 
         Notes
         -----
-        When nothing runs here the request is let in whatever the
-        estimate says: it measures anew.
+        While no request runs here the estimates are ignored: the request
+        that is admitted provides a new measurement.
         """
         if deadline <= now:
             return kinds.Failure(kinds.Kind.HOPELESS, "no time left")
-        if not self._estimating or not self.running:
+        if not self._reject_by_estimate or not self.running:
             return None
-        times = self._times[entry.pipeline]
+        times = self._run_times[entry.pipeline]
         slack = deadline - now
         if slack < times.lower_bound(now):
             return kinds.Failure(
                 kinds.Kind.HOPELESS, "less time left than it takes"
             )
-        wait = self._wait_time(entry, now)
-        # With a slot free nobody is kept waiting by one that may be late,
-        # and refusing it would be a loss for sure.
+        wait = self._expected_wait_s(entry, now)
+        # If a slot is free, a request that may end late delays no other,
+        # while a rejected one is certainly lost.
         if not wait or wait + times.upper_bound(now) <= slack:
             return None
         return kinds.Failure(
             kinds.Kind.SHED,
             f"the queue takes {wait:.2f} s",
-            retry_after=_retry_after(wait),
+            retry_after=_retry_delay_s(wait),
         )
 
     async def acquire(self, entry, deadline_s, now):
-        """Wait for a slot.
+        """Take a slot, waiting for one if necessary.
 
         Returns
         -------
@@ -104,18 +106,18 @@
         """
         if self._has_slot() and not self.waiting:
             return self._start(entry, deadline_s, now)
-        woken = asyncio.get_running_loop().create_future()
-        entry = entry._replace(woken=woken)
+        decision = asyncio.get_running_loop().create_future()
+        entry = entry._replace(decision=decision)
         self._queue.add(entry)
-        if len(self._queue) > self._most:
-            self._push_out(now)
+        if len(self._queue) > self._max_waiting:
+            self._evict(now)
         return await self._wait(entry, deadline_s, now)
 
     def release(self, ticket, now):
-        """Give a slot back and start those who can run now."""
-        seconds = now - ticket.started
-        self._times[ticket.pipeline].add(seconds, now)
-        self.limiter.finished(seconds, ticket.deadline_s, self.running, now)
+        """Return a slot and start waiting requests."""
+        seconds = now - ticket.started_at
+        self._run_times[ticket.pipeline].add(seconds, now)
+        self.limiter.record_run(seconds, ticket.deadline_s, self.running, now)
         self.running -= 1
         self._start_waiting(now)
 
@@ -131,40 +133,40 @@
     def _start_waiting(self, now):
         while len(self._queue) and self._has_slot():
             entry = self._queue.pop()
-            if entry.give_up <= now:
-                entry.woken.set_result(_given_up())
+            if entry.start_deadline <= now:
+                entry.decision.set_result(_too_late_failure())
                 continue
             self.running += 1
-            entry.woken.set_result(None)
+            entry.decision.set_result(None)
 
-    def _push_out(self, now):
-        entry = self._queue.push_out()
-        wait = self._wait_time(entry, now)
-        entry.woken.set_result(
+    def _evict(self, now):
+        entry = self._queue.evict()
+        wait = self._expected_wait_s(entry, now)
+        entry.decision.set_result(
             kinds.Failure(
-                kinds.Kind.SHED, "queue full", retry_after=_retry_after(wait)
+                kinds.Kind.SHED, "queue full", retry_after=_retry_delay_s(wait)
             )
         )
 
-    def _wait_time(self, entry, now):
-        mean = self._times[entry.pipeline].mean(now) or 0.0
-        ahead = self._queue.ahead(entry.team, entry.weight)
+    def _expected_wait_s(self, entry, now):
+        mean = self._run_times[entry.pipeline].mean(now) or 0.0
+        ahead = self._queue.count_ahead(entry.team, entry.weight)
         if not ahead and self._has_slot():
             return 0.0
         return (ahead + 1) * mean / max(1, int(self.limiter.limit))
 
     async def _wait(self, entry, deadline_s, now):
-        """Wait until woken, or until it is too late to begin."""
-        woken = entry.woken
+        """Wait for the decision on an entry, until its start deadline."""
+        decision = entry.decision
         try:
-            async with asyncio.timeout(max(0.0, entry.give_up - now)):
-                failure = await asyncio.shield(woken)
+            async with asyncio.timeout(max(0.0, entry.start_deadline - now)):
+                failure = await asyncio.shield(decision)
         except TimeoutError:
-            if not woken.done():
-                woken.cancel()
+            if not decision.done():
+                decision.cancel()
                 self._queue.remove(entry)
-                return _given_up()
-            failure = woken.result()
+                return _too_late_failure()
+            failure = decision.result()
         except asyncio.CancelledError:
             self._abandon(entry)
             raise
@@ -180,23 +182,23 @@
         )
 
     def _abandon(self, entry):
-        """Free what an entry holds whose caller went away."""
-        if not entry.woken.done():
-            entry.woken.cancel()
+        """Return the queue position or slot of a cancelled request."""
+        if not entry.decision.done():
+            entry.decision.cancel()
             self._queue.remove(entry)
-        elif entry.woken.result() is None:
+        elif entry.decision.result() is None:
             self.running -= 1
             self._start_waiting(self._clock())
 
 
-def _given_up():
+def _too_late_failure():
     return kinds.Failure(
         kinds.Kind.SHED,
         "too late to begin",
-        retry_after=_retry_after(LEAST_RETRY_S),
+        retry_after=_retry_delay_s(MIN_RETRY_S),
     )
 
 
-def _retry_after(wait):
-    """Spread returns, so that the refused do not come back together."""
-    return max(LEAST_RETRY_S, wait) * random.uniform(1.0, 2.0)
+def _retry_delay_s(wait):
+    """Return a random delay, so that rejected callers retry spread out."""
+    return max(MIN_RETRY_S, wait) * random.uniform(1.0, 2.0)
--- a/sycamoreshed/admission/limits.py
+++ b/sycamoreshed/admission/limits.py
@@ -1,4 +1,4 @@
-"""Limits of teams: a token bucket for each active team."""
+"""Rate limits of teams: a token bucket for each active team."""
 
 import asyncio
 import time
@@ -9,71 +9,83 @@
 
 __all__ = ["Limits"]
 
-ROUND_S = 1.0
+STEP_INTERVAL_S = 1.0
 DEMAND_WEIGHT = 0.5
-# A bucket holds at least this many, so that a team with a small part
-# here is not refused its first few requests.
-LEAST_BURST = 4.0
+# Minimum capacity of a bucket, so that the first few requests of a team with
+# a small share at this instance are not rejected.
+MIN_BURST = 4.0
 DEFAULT_BURST_S = 1.0
-# What is told: the hottest teams, again when changed by this much or as
-# old as that.
-MOST_TOLD = 16
-CHANGE = 0.2
-TELL_AGAIN_S = 5.0
-TOLD_VALID_S = 15.0
-# Everybody hears what everybody tells; bytes a second that this may cost
-# an instance, and about how many a record and a team in it take.
-HEARD_BYTES = 2000.0
+# Each instance publishes the demand of at most this many teams, those with
+# the highest demand relative to their limit.  It does so when the set of teams
+# changed, a demand changed by more than this fraction, or the last publication
+# is this old.
+MAX_PUBLISHED_TEAMS = 16
+MIN_RELATIVE_CHANGE = 0.2
+REPUBLISH_INTERVAL_S = 5.0
+MIN_VALIDITY_S = 15.0
+# Every instance receives the publications of all others.  Bytes per second
+# that an instance may receive this way, and the approximate bytes of a record
+# and of each team in it.
+MAX_RECEIVED_BYTES_PER_S = 2000.0
 RECORD_BYTES = 60
 TEAM_BYTES = 24
-MOST_HALF_LIFE_S = 86400.0
+PEAK_HALF_LIFE_S = 86400.0
 
 
-class _Bucket:
-    """State of one active team."""
+class _TeamBucket:
+    """Token bucket and measured demand of one active team."""
 
-    __slots__ = ("at", "burst", "count", "demand", "part", "rate", "tokens")
+    __slots__ = (
+        "burst",
+        "count",
+        "demand",
+        "local_share",
+        "rate",
+        "refilled_at",
+        "tokens",
+    )
 
-    def __init__(self, part, now):
-        self.at = now
-        self.burst = LEAST_BURST
+    def __init__(self, local_share, now):
+        self.refilled_at = now
+        self.burst = MIN_BURST
         self.count = 0
         self.demand = 0.0
-        self.part = part
+        self.local_share = local_share
         self.rate = 0.0
         self.tokens = None
 
     def refill(self, now):
-        """Add what has become due; return the tokens."""
-        size = self.size
+        """Add the tokens earned since the last refill; return the total."""
+        capacity = self.capacity
         if self.tokens is None:
-            self.tokens = size
-        due = (now - self.at) * self.rate * self.part
-        self.tokens = min(size, self.tokens + due)
-        self.at = now
+            self.tokens = capacity
+        earned = (now - self.refilled_at) * self.rate * self.local_share
+        self.tokens = min(capacity, self.tokens + earned)
+        self.refilled_at = now
         return self.tokens
 
     @property
-    def size(self):
-        """Tokens the bucket holds at most."""
-        return max(LEAST_BURST, self.burst * self.part)
+    def capacity(self):
+        """Maximum number of tokens."""
+        return max(MIN_BURST, self.burst * self.local_share)
 
 
 class Limits:
-    """Checks requests against their teams' limits.
+    """Checks requests against the rate limits of their teams.
 
     Parameters
     ----------
     instance : str
     live_count : callable
-        Takes monotonic seconds, returns the number of live instances.
+        Takes the monotonic time, returns the number of live instances.
     publish : callable
-        Takes demand by team, to spread to the other instances.
+        Takes demand by team, and sends it to the other instances.
 
     Notes
     -----
-    Only teams that sent lately have state; it goes when the bucket is
-    full again, since a new one would be the same.
+    Only teams that sent requests recently have state.  It is dropped when
+    their demand is negligible and the bucket is full, since a new bucket
+    would be full as well.
     """
 
     def __init__(self, *, instance, live_count, publish):
@@ -81,24 +93,24 @@
         self._live_count = live_count
         self._publish = publish
         self._buckets = {}
-        self._heard = {}
-        self._told = {}
-        self._told_at = float("-inf")
-        self._most = 1.0
-        self._stepped = None
+        self._received = {}
+        self._published = {}
+        self._published_at = float("-inf")
+        self._peak_live = 1.0
+        self._stepped_at = None
 
     @property
     def active(self):
-        """Number of teams that state is held for."""
+        """Number of teams that have state."""
         return len(self._buckets)
 
-    def part(self, team):
-        """Return the part of a team's limit that is used here."""
+    def local_share(self, team):
+        """Return the share of a team's limit at this instance, or None."""
         bucket = self._buckets.get(team)
-        return None if bucket is None else bucket.part
+        return None if bucket is None else bucket.local_share
 
     def check(self, team, spec, now):
-        """Take a token for a request; return a failure if there is none.
+        """Take a token for a request, or return a failure.
 
         Parameters
         ----------
@@ -113,147 +125,165 @@
         """
         bucket = self._buckets.get(team)
         if bucket is None:
-            part = shares.part(self._view(team, now, spec["rate"]))
-            bucket = self._buckets[team] = _Bucket(part, now)
+            local_share = shares.local_share(
+                self._demand_view(team, now, spec["rate"])
+            )
+            bucket = self._buckets[team] = _TeamBucket(local_share, now)
         bucket.rate = spec["rate"]
         bucket.burst = spec.get("burst", spec["rate"] * DEFAULT_BURST_S)
         bucket.count += 1
         if bucket.refill(now) >= 1.0:
             bucket.tokens -= 1.0
             return None
-        wait = (1.0 - bucket.tokens) / (bucket.rate * bucket.part)
+        wait = (1.0 - bucket.tokens) / (bucket.rate * bucket.local_share)
         return kinds.Failure(
             kinds.Kind.OVER_LIMIT,
             f"team {team!r} is over its limit",
             retry_after=wait,
         )
 
-    def hear(self, instance, value, now):
-        """Take in what another instance told."""
-        self._heard[instance] = (now, value[1])
+    def receive_demand(self, instance, value, now):
+        """Store the demand published by another instance."""
+        self._received[instance] = (now, value[1])
 
     def step(self, now):
-        """Measure demand, tell it, and work out the parts anew."""
-        seconds = ROUND_S if self._stepped is None else now - self._stepped
-        self._stepped = now
-        fade = 0.5 ** (seconds / MOST_HALF_LIFE_S)
-        self._most = max(self._live_count(now), self._most * fade)
-        self._drop_old(now)
+        """Measure and publish the demand, and update the shares."""
+        seconds = (
+            STEP_INTERVAL_S
+            if self._stepped_at is None
+            else now - self._stepped_at
+        )
+        self._stepped_at = now
+        decay = 0.5 ** (seconds / PEAK_HALF_LIFE_S)
+        self._peak_live = max(self._live_count(now), self._peak_live * decay)
+        self._drop_expired(now)
         for bucket in self._buckets.values():
             rate = bucket.count / seconds
             bucket.demand += DEMAND_WEIGHT * (rate - bucket.demand)
             bucket.count = 0
-        self._tell_demand(now)
+        self._publish_demand(now)
         for team, bucket in self._buckets.items():
-            # Up to now the old part was in force.
+            # The old share applies to the time up to now.
             bucket.refill(now)
-            bucket.part = shares.part(self._view(team, now, bucket.rate))
-
-    def _drop_old(self, now):
-        valid = max(
-            TOLD_VALID_S, 3 * _interval(self._live_count(now), MOST_TOLD)
+            bucket.local_share = shares.local_share(
+                self._demand_view(team, now, bucket.rate)
+            )
+
+    def _drop_expired(self, now):
+        validity_s = max(
+            MIN_VALIDITY_S,
+            3 * _min_interval_s(self._live_count(now), MAX_PUBLISHED_TEAMS),
         )
-        for instance, (at, _) in list(self._heard.items()):
-            if now - at > valid:
-                del self._heard[instance]
+        for instance, (received_at, _) in list(self._received.items()):
+            if now - received_at > validity_s:
+                del self._received[instance]
         for team, bucket in list(self._buckets.items()):
             idle = not bucket.count and bucket.demand < bucket.rate / 1000
-            if idle and bucket.refill(now) >= bucket.size:
+            if idle and bucket.refill(now) >= bucket.capacity:
                 del self._buckets[team]
 
-    def _view(self, team, now, rate):
+    def _demand_view(self, team, now, rate):
         others = [
-            told[team] for _, told in self._heard.values() if team in told
+            demand[team]
+            for _, demand in self._received.values()
+            if team in demand
         ]
-        return shares.View(
+        return shares.DemandView(
             live=self._live_count(now),
-            most=max(self._most, self._live_count(now)),
-            own=self._told.get(team, 0.0),
+            peak_live=max(self._peak_live, self._live_count(now)),
+            own=self._published.get(team, 0.0),
             others=tuple(others),
             rate=rate,
         )
 
-    def _tell_demand(self, now):
-        """Tell the demand of teams that need more than the even floor."""
+    def _publish_demand(self, now):
+        """Publish the demand of teams above the minimum even share."""
         hot = {}
         live = self._live_count(now)
         for team, bucket in self._buckets.items():
-            if bucket.demand * live > shares.FLOOR * bucket.rate:
+            if bucket.demand * live > shares.MIN_EVEN_FRACTION * bucket.rate:
                 hot[team] = float(f"{bucket.demand:.3g}")
-        if len(hot) > MOST_TOLD:
-            top = sorted(hot, key=self._pressure, reverse=True)[:MOST_TOLD]
+        if len(hot) > MAX_PUBLISHED_TEAMS:
+            top = sorted(hot, key=self._demand_ratio, reverse=True)[
+                :MAX_PUBLISHED_TEAMS
+            ]
             hot = {team: hot[team] for team in top}
-        since = now - self._told_at
-        if since < _interval(live, len(hot)):
+        elapsed_s = now - self._published_at
+        if elapsed_s < _min_interval_s(live, len(hot)):
             return
-        old = since >= TELL_AGAIN_S
-        if (hot and old) or _differs(hot, self._told):
-            self._told = hot
-            self._told_at = now
+        is_old = elapsed_s >= REPUBLISH_INTERVAL_S
+        if (hot and is_old) or _has_changed(hot, self._published):
+            self._published = hot
+            self._published_at = now
             self._publish(hot)
 
-    def _pressure(self, team):
+    def _demand_ratio(self, team):
         bucket = self._buckets[team]
         return bucket.demand / bucket.rate
 
 
-def _interval(live, teams):
-    """Return the least seconds between two tellings of one instance.
+def _min_interval_s(live, teams):
+    """Return the minimum seconds between two publications of an instance.
 
     Notes
     -----
-    Without it 410 instances that tell 16 teams each at every change would
-    have each instance hear some 180 KB/s, thirty times what control may
-    cost; the links would be seen full of gossip.
+    If 410 instances published 16 teams each at every change, each instance
+    would receive about 180 KB/s, thirty times what control traffic may
+    cost, and gossip would fill the links.
     """
-    return live * (RECORD_BYTES + TEAM_BYTES * teams) / HEARD_BYTES
+    return (
+        live * (RECORD_BYTES + TEAM_BYTES * teams) / MAX_RECEIVED_BYTES_PER_S
+    )
 
 
-def _differs(new, old):
+def _has_changed(new, old):
     if new.keys() != old.keys():
         return True
-    return any(abs(new[key] - old[key]) > CHANGE * old[key] for key in new)
+    return any(
+        abs(new[key] - old[key]) > MIN_RELATIVE_CHANGE * old[key]
+        for key in new
+    )
 
 
 @kernel.plugin("limits", needs=("gossip", "membership"))
 async def limits(core):
-    """Provide the limits of teams."""
+    """Provide the rate limits of teams."""
     gossip = core.part("gossip")
     membership = core.part("membership")
     instance = core.settings.instance
 
-    def tell(demand):
+    def publish(demand):
         stamp = int(time.time() * 1000)
         gossip.put(shares.TOPIC, instance, [stamp, demand])
 
     part = Limits(
         instance=instance,
         live_count=LiveCount(membership=membership),
-        publish=tell,
+        publish=publish,
     )
-    gossip.on_record(shares.TOPIC, part.hear)
-    core.spawn(_keep(part, core.clock), name="limits")
+    gossip.on_record(shares.TOPIC, part.receive_demand)
+    core.spawn(_run_steps(part, core.clock), name="limits")
     yield part
 
 
-async def _keep(part, clock):
+async def _run_steps(part, clock):
     while True:
-        await asyncio.sleep(ROUND_S)
+        await asyncio.sleep(STEP_INTERVAL_S)
         part.step(clock())
 
 
 class LiveCount:
-    """The number of live instances, counted anew once a second."""
+    """Number of live instances, cached for `STEP_INTERVAL_S`."""
 
     def __init__(self, *, membership):
         self._membership = membership
-        self._until = float("-inf")
+        self._expires_at = float("-inf")
         self._total = 1
 
     def __call__(self, now):
-        """Return the count; `now` in monotonic seconds."""
-        if now >= self._until:
-            self._until = now + ROUND_S
+        """Return the number; `now` is in monotonic seconds."""
+        if now >= self._expires_at:
+            self._expires_at = now + STEP_INTERVAL_S
             live = self._membership.live_instances(now)
             self._total = max(1, live.total)
         return self._total
--- a/sycamoreshed/admission/shares.py
+++ b/sycamoreshed/admission/shares.py
@@ -1,58 +1,68 @@
-"""What part of a team's limit each instance may use.
+"""Division of a team's rate limit among the instances.
 
-A team's limit is one figure for the whole system, while its requests
-arrive anywhere.  Instances tell each other the demand of teams that come
-near their part, and parts follow the demand told.
+A team's limit applies to the whole system, while its requests arrive at
+any instance.  Instances publish the demand of teams whose demand exceeds
+a fraction of an even share, and the shares follow the published demand.
 """
 
 import typing
 
 from sycamoreshed.membership import topics
 
-__all__ = ["FACTOR", "FLOOR", "TOPIC", "View", "part", "reach"]
+__all__ = [
+    "DemandView",
+    "MAX_TOTAL_SHARE",
+    "MIN_EVEN_FRACTION",
+    "TOPIC",
+    "local_share",
+    "reachable_share",
+]
 
 TOPIC = "demand"
-# Parts of all instances sum to at most this times the limit, however
-# the instances are cut off from each other.
-FACTOR = 2.0
-# Part of the limit that is split evenly, for those without demand yet.
-FLOOR = 0.2
+# The shares of all instances sum to at most this, however a network
+# partition divides the instances.
+MAX_TOTAL_SHARE = 2.0
+# At least this fraction of a limit is divided evenly, for instances that have
+# no demand yet.
+MIN_EVEN_FRACTION = 0.2
 
 topics.topic(TOPIC)(topics.newest)
 
 
-class View(typing.NamedTuple):
-    """What an instance knows when it works out its part.
+class DemandView(typing.NamedTuple):
+    """Input for the share of a limit that an instance may use.
 
     Parameters
     ----------
     live : int
-        Instances it can count on, itself included.
-    most : float
-        Instances there were lately, in the whole system.
+        Number of live instances, including this one.
+    peak_live : float
+        Recent maximum of the number of live instances.
     own : float
-        Demand it told last, requests a second; zero for none.
+        Demand this instance published last, in requests per second; zero
+        for none.
     others : tuple of float
-        Demand that live peers told last.
+        Latest demand that other instances published and that still holds.
     rate : float
-        The limit.  What of it nobody asks for is split evenly, or an
-        instance new to a team would refuse it below its limit.
+        The limit, or zero to ignore it.  The part that is not demanded is
+        divided evenly; otherwise an instance that gets a team's first
+        requests would reject them although the team is below its limit.
     """
 
     live: int
-    most: float
+    peak_live: float
     own: float
     others: tuple = ()
     rate: float = 0.0
 
 
-def reach(live, most):
-    """Return what part of a limit the instances in reach may use.
+def reachable_share(live, peak_live):
+    """Return the share of a limit that the live instances may use.
 
     Parameters
     ----------
     live : int
-    most : float
+    peak_live : float
 
     Returns
     -------
@@ -60,34 +70,38 @@
 
     Notes
     -----
-    Those in reach cannot know whether the others are dead or cut off.
-    A group of half of them or more takes the whole limit, a smaller one
-    less, so groups that are cut off from each other sum to `FACTOR`.
+    An instance cannot distinguish dead peers from unreachable ones.  A
+    group of at least half of the instances uses the full limit and a
+    smaller one less, so that the groups of a partitioned network together
+    use at most `MAX_TOTAL_SHARE` times the limit.
 
     Examples
     --------
-    >>> reach(9, 9), reach(6, 9), reach(3, 9)
+    >>> reachable_share(9, 9), reachable_share(6, 9), reachable_share(3, 9)
     (1.0, 1.0, 0.6666666666666666)
     """
-    return min(1.0, FACTOR * live / max(live, most))
+    return min(1.0, MAX_TOTAL_SHARE * live / max(live, peak_live))
 
 
-def part(view):
-    """Return the part of a limit an instance may use, from 0 to 1.
+def local_share(view):
+    """Return the share of a limit this instance may use, from 0 to 1.
 
     Examples
     --------
-    >>> part(View(live=4, most=4, own=0.0))
+    >>> local_share(DemandView(live=4, peak_live=4, own=0.0))
     0.25
-    >>> round(part(View(live=4, most=4, own=3.0, others=(1.0,))), 6)
+    >>> round(local_share(DemandView(4, 4, own=3.0, others=(1.0,))), 6)
     0.65
     """
-    even = 1.0 / view.live
+    even_share = 1.0 / view.live
     total = view.own + sum(view.others)
     if not total:
-        return reach(view.live, view.most) * even
-    follow = 1.0 - FLOOR
+        return reachable_share(view.live, view.peak_live) * even_share
+    demand_fraction = 1.0 - MIN_EVEN_FRACTION
     if view.rate:
-        follow = min(follow, total / view.rate)
-    following = follow * view.own / total + (1.0 - follow) * even
-    return reach(view.live, view.most) * following
+        demand_fraction = min(demand_fraction, total / view.rate)
+    weighted = (
+        demand_fraction * view.own / total
+        + (1.0 - demand_fraction) * even_share
+    )
+    return reachable_share(view.live, view.peak_live) * weighted
--- a/sycamoreshed/admission/tests/test_budget.py
+++ b/sycamoreshed/admission/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""A budget is never overdrawn, whatever is asked of it."""
+"""Retries never exceed the budget, for any sequence of calls."""
 
 from hypothesis import given
 from hypothesis import settings
