--- a/sycamoreshed/admission/limits.py
+++ b/sycamoreshed/admission/limits.py
@@ -36,12 +36,12 @@
     """Token bucket and measured demand of one active team."""
 
     __slots__ = (
+        "refilled_at",
         "burst",
         "count",
         "demand",
         "local_share",
         "rate",
-        "refilled_at",
         "tokens",
     )
 
--- a/sycamoreshed/routing/__init__.py
+++ b/sycamoreshed/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choosing an endpoint for a stage."""
+"""Selection of an endpoint for a stage."""
--- a/sycamoreshed/routing/affinity.py
+++ b/sycamoreshed/routing/affinity.py
@@ -1,36 +1,37 @@
-"""Rendezvous hashing: every instance ranks endpoints the same way."""
+"""Rendezvous hashing, by which all instances rank endpoints alike."""
 
 import xxhash
 
-__all__ = ["homes"]
+__all__ = ["preferred_endpoints"]
 
 _MASK = (1 << 32) - 1
-_ODD = 0x9E3779B1
-# More names than endpoints at the size to design for, with replacements.
-_NAMES = 4096
+_MULTIPLIER = 0x9E3779B1
+# More than the number of endpoints in the largest intended deployment,
+# including replaced ones.
+_MAX_CACHED_NAMES = 4096
 
 
-class _Hashes(dict):
-    """Hashes of endpoints' names, kept since each choice needs them all."""
+class _HashCache(dict):
+    """Cached hashes of endpoint names, since each choice needs all of them."""
 
     def __missing__(self, name):
-        if len(self) >= _NAMES:
+        if len(self) >= _MAX_CACHED_NAMES:
             self.clear()
         self[name] = _hash(name)
         return self[name]
 
 
-_name_hashes = _Hashes()
+_name_hashes = _HashCache()
 
 
-def homes(candidates, key):
-    """Return the two endpoints a key belongs to, the first one first.
+def preferred_endpoints(candidates, key):
+    """Return the two endpoints that rank highest for a key, best first.
 
     Parameters
     ----------
     candidates : list of Endpoint
     key : str
-        Such as the hash of a prompt's prefix.
+        For example the hash of a prompt's prefix.
 
     Returns
     -------
@@ -38,16 +39,17 @@
 
     Notes
     -----
-    No message is needed, and when an endpoint goes only its own keys
-    move.  The second is for when the first is full: were it any, the
-    key would end up in all caches.
+    This needs no coordination, and removing an endpoint moves only its own
+    keys.  The second endpoint serves when the first is fully loaded; if
+    any other one served then, the key would end up in all caches.
     """
-    own = _hash(key)
+    key_hash = _hash(key)
     hashes = _name_hashes
-    # Of 32 bits each, so that the product stays small; with 64 this took
-    # half as long again for 90 candidates.
+    # 32-bit hashes keep the product small: 64-bit ones take 1.5 times as
+    # long for 90 candidates.
     weights = [
-        ((own ^ hashes[item.name]) * _ODD) & _MASK for item in candidates
+        ((key_hash ^ hashes[item.name]) * _MULTIPLIER) & _MASK
+        for item in candidates
     ]
     first = weights.index(max(weights))
     if len(weights) == 1:
--- a/sycamoreshed/routing/loads.py
+++ b/sycamoreshed/routing/loads.py
@@ -1,4 +1,4 @@
-"""What an instance knows of each endpoint's load and speed."""
+"""Load and speed of each endpoint, as seen by this instance."""
 
 import collections
 import math
@@ -8,63 +8,64 @@
 
 __all__ = ["Loads", "NO_REPORTS"]
 
-OLDEST_REPORT_S = 10.0
-LEVEL_WEIGHT = 0.1
-SIZE_WEIGHT = 0.1
-SLOW_FROM = 1.5
-# A second call saves nothing below this, and after a few calls nobody
-# can tell what is unusual: a pause of the machine would double traffic.
-LEAST_PATIENCE_S = 0.1
-LEAST_KNOWN = 10
-# How much longer a call takes when all slots are taken; it also makes
-# the least loaded the choice among those that have a free slot.
-FULL_BATCH = 0.5
-FIRST_SECONDS = 0.05
+MAX_REPORT_AGE_S = 10.0
+SERVICE_LOAD_WEIGHT = 0.1
+BYTES_WEIGHT = 0.1
+SLOW_RATIO = 1.5
+# A hedge after a shorter delay saves nothing.  With fewer measurements it is
+# unclear which delay is unusual: a pause of the machine would double the
+# traffic.
+MIN_HEDGE_DELAY_S = 0.1
+MIN_MEASUREMENTS = 10
+# Relative increase of a call's time when all slots are in use.  It also makes
+# the least loaded of the endpoints that have a free slot preferable.
+FULL_LOAD_SLOWDOWN = 0.5
+INITIAL_CALL_TIME_S = 0.05
 NO_REPORTS = {}
 
 
-class _Known(typing.NamedTuple):
-    """A report, and our own calls in flight when it was measured."""
+class _ReportedLoad(typing.NamedTuple):
+    """Load by other callers, derived from a report, as a share of slots."""
 
-    measured: float
+    measured_at: float
     others: float
 
 
 class Loads:
-    """Own calls in flight, lagged reports, and measured times.
+    """Combines own calls in flight, lagged reports and measured times.
 
     Parameters
     ----------
     reports : callable, optional
         Returns reports by endpoint name: a dictionary with ``running``
-        and ``waiting``, and the monotonic time it was measured at.
+        and ``waiting``, and the monotonic time of the measurement.
     hedging : bool
-        Whether a slow attempt may be followed by another.
+        Whether a second call may be sent while a slow one is pending.
     """
 
     def __init__(self, *, reports=lambda: NO_REPORTS, hedging=True):
         self._hedging = hedging
         self._reports = reports
         self._in_flight = collections.Counter()
-        self._known = {}
-        self._times = {}
-        self._services = {}
-        self._levels = {}
-        self._firsts = {}
-        self._sizes = {}
+        self._reported_loads = {}
+        self._endpoint_times = {}
+        self._service_times = {}
+        self._service_loads = {}
+        self._first_output_times = {}
+        self._call_bytes = {}
 
     def record_start(self, endpoint):
-        """Count a call of our own."""
+        """Count a call of this instance as in flight."""
         self._in_flight[endpoint.name] += 1
 
     def record_end(self, endpoint):
-        """Count a call of our own as over."""
+        """Count a call of this instance as ended."""
         self._in_flight[endpoint.name] -= 1
         if not self._in_flight[endpoint.name]:
             del self._in_flight[endpoint.name]
 
-    def observe(self, endpoint, seconds, now, *, whole):
-        """Take in how long a call took.
+    def observe_time(self, endpoint, seconds, now, *, completed):
+        """Add the measured duration of a call.
 
         Parameters
         ----------
@@ -72,128 +73,134 @@
         seconds : float
         now : float
             Monotonic seconds.
-        whole : bool
-            False if it was given up: then it would have taken longer, so
-            it counts only if it was slow already.
+        completed : bool
+            False if the call was cancelled or failed.  It would have taken
+            longer, so it counts only if it was slow already.
         """
-        crowd = max(1.0, self.utilization(endpoint, now))
-        alone = seconds / crowd
+        load_factor = max(1.0, self.utilization(endpoint, now))
+        unloaded_s = seconds / load_factor
         name = endpoint.name
-        if not whole and alone < (self._mean_of(endpoint, now) or 0.0):
+        if not completed and unloaded_s < (
+            self._unloaded_time_s(endpoint, now) or 0.0
+        ):
             return
-        if name not in self._times:
-            self._times[name] = estimates.Estimate()
-        self._times[name].add(alone, now)
-        if whole:
+        if name not in self._endpoint_times:
+            self._endpoint_times[name] = estimates.Estimate()
+        self._endpoint_times[name].add(unloaded_s, now)
+        if completed:
             service = endpoint.service
-            if service not in self._services:
-                self._services[service] = estimates.Estimate()
-            self._services[service].add(alone, now)
+            if service not in self._service_times:
+                self._service_times[service] = estimates.Estimate()
+            self._service_times[service].add(unloaded_s, now)
 
     def observe_first_output(self, endpoint, seconds, now):
-        """Take in how long the first byte of an answer took."""
-        firsts = self._firsts.get(endpoint.service)
-        if firsts is None:
-            firsts = self._firsts[endpoint.service] = estimates.Estimate()
-        firsts.add(seconds, now)
+        """Add the time to the first chunk of a stream or a unary answer."""
+        estimate = self._first_output_times.get(endpoint.service)
+        if estimate is None:
+            estimate = self._first_output_times[endpoint.service] = (
+                estimates.Estimate()
+            )
+        estimate.add(seconds, now)
 
     def hedge_delay_s(self, endpoint, now):
-        """Return seconds after which no answer yet is unusual, or None."""
-        firsts = self._firsts.get(endpoint.service)
-        if firsts is None or not self._hedging:
+        """Return after how many seconds to hedge a call, or None for never."""
+        estimate = self._first_output_times.get(endpoint.service)
+        if estimate is None or not self._hedging:
             return None
-        if firsts.count < LEAST_KNOWN:
+        if estimate.count < MIN_MEASUREMENTS:
             return None
-        return max(LEAST_PATIENCE_S, firsts.unusual())
+        return max(MIN_HEDGE_DELAY_S, estimate.outlier_threshold())
 
-    def observe_size(self, stage, size):
-        """Take in the bytes a stage's call sent and received."""
-        old = self._sizes.get(stage, size)
-        self._sizes[stage] = old + SIZE_WEIGHT * (size - old)
+    def observe_bytes(self, stage, call_bytes):
+        """Add the bytes that a call of a stage sent and received."""
+        old = self._call_bytes.get(stage, call_bytes)
+        self._call_bytes[stage] = old + BYTES_WEIGHT * (call_bytes - old)
 
-    def size(self, stage):
-        """Return the bytes expected of a stage's call."""
-        return self._sizes.get(stage, 0.0)
+    def expected_bytes(self, stage):
+        """Return the bytes a call of a stage is expected to transfer."""
+        return self._call_bytes.get(stage, 0.0)
 
     def utilization(self, endpoint, now):
         """Return calls in flight as a share of the endpoint's slots.
 
         Notes
         -----
-        A report counts all callers and lags, so our own calls of its
-        time are taken off it and our present ones are added.  What it
-        said of others holds for about as long as a call takes; then it
-        is taken to be as with the service's other endpoints.  Were it
-        taken to fall to nothing, every instance would send to whichever
-        endpoint was heard of longest ago.
+        A report counts the calls of all callers and lags, so the calls of
+        this instance at the first use of the report are subtracted and its
+        current ones are added.  The load by other callers decays to the
+        average of the service's endpoints, with the mean time of a call as
+        half-life.  If it decayed to zero, every instance would send to the
+        endpoint with the oldest report.
         """
         own = self._in_flight.get(endpoint.name, 0) / endpoint.slots
         report = self._reports().get(endpoint.name)
-        if report is None or now - report[1] > OLDEST_REPORT_S:
+        if report is None or now - report[1] > MAX_REPORT_AGE_S:
             return own
         others = self._others(endpoint, report, own)
-        level = self._levels[endpoint.service]
+        service_load = self._service_loads[endpoint.service]
         age = max(0.0, now - report[1])
-        weight = 0.5 ** (age / self._call_time(endpoint.service, now))
-        return own + level + (others - level) * weight
-
-    def seconds(self, endpoint, now):
-        """Return the time one more call is expected to take."""
-        alone = self._mean_of(endpoint, now)
-        if alone is None:
-            alone = FIRST_SECONDS
+        weight = 0.5 ** (age / self._call_time_s(endpoint.service, now))
+        return own + service_load + (others - service_load) * weight
+
+    def expected_time_s(self, endpoint, now):
+        """Return the seconds that one more call is expected to take."""
+        unloaded_s = self._unloaded_time_s(endpoint, now)
+        if unloaded_s is None:
+            unloaded_s = INITIAL_CALL_TIME_S
         load = self.utilization(endpoint, now) + 1.0 / endpoint.slots
-        return alone * (1.0 + FULL_BATCH * load + max(0.0, load - 1.0))
+        return unloaded_s * (
+            1.0 + FULL_LOAD_SLOWDOWN * load + max(0.0, load - 1.0)
+        )
 
     def adapters(self, endpoint):
-        """Return the adapters an endpoint reported, or None."""
+        """Return the loaded adapters in an endpoint's report, or None."""
         report = self._reports().get(endpoint.name)
         return report[0].get("adapters") if report else None
 
-    def forget(self, names):
-        """Drop what is held for endpoints other than `names`."""
-        for held in (self._known, self._times):
-            for name in set(held) - names:
-                del held[name]
+    def retain(self, names):
+        """Drop the state of all endpoints except `names`."""
+        for cache in (self._reported_loads, self._endpoint_times):
+            for name in set(cache) - names:
+                del cache[name]
 
     def _others(self, endpoint, report, own):
-        """Return others' share of the slots when it was reported."""
-        body, measured = report
-        known = self._known.get(endpoint.name)
-        if known is None or known.measured != measured:
+        """Return the load by other callers in a report."""
+        body, measured_at = report
+        reported = self._reported_loads.get(endpoint.name)
+        if reported is None or reported.measured_at != measured_at:
             total = body.get("running", 0) + body.get("waiting", 0)
             others = max(0.0, total / endpoint.slots - own)
-            known = _Known(measured, others)
-            self._known[endpoint.name] = known
-            level = self._levels.get(endpoint.service, others)
-            level += LEVEL_WEIGHT * (others - level)
-            self._levels[endpoint.service] = level
-        return known.others
+            reported = _ReportedLoad(measured_at, others)
+            self._reported_loads[endpoint.name] = reported
+            service_load = self._service_loads.get(endpoint.service, others)
+            service_load += SERVICE_LOAD_WEIGHT * (others - service_load)
+            self._service_loads[endpoint.service] = service_load
+        return reported.others
 
-    def _call_time(self, service, now):
-        times = self._services.get(service)
-        return times.mean(now, fading=False) if times else FIRST_SECONDS
+    def _call_time_s(self, service, now):
+        times = self._service_times.get(service)
+        return times.mean(now, decayed=False) if times else INITIAL_CALL_TIME_S
 
-    def _mean_of(self, endpoint, now):
-        """Return the time of a call alone, or None if none is known.
+    def _unloaded_time_s(self, endpoint, now):
+        """Return the time of a call without load, or None if unmeasured.
 
         Notes
         -----
-        An endpoint that was found slow is not called, so nothing would
-        be measured there ever again; its estimate moves to that of its
-        service as it gets older.
+        An endpoint that was measured as slow gets no calls, so it would
+        never be measured again.  Therefore its estimate approaches that of
+        its service with age.
         """
-        service = self._services.get(endpoint.service)
-        usual = service.mean(now, fading=False) if service else None
-        times = self._times.get(endpoint.name)
+        service = self._service_times.get(endpoint.service)
+        service_mean = service.mean(now, decayed=False) if service else None
+        times = self._endpoint_times.get(endpoint.name)
         if times is None:
-            return usual
-        own = times.mean(now, fading=False)
-        if usual is None:
+            return service_mean
+        own = times.mean(now, decayed=False)
+        if service_mean is None:
             return own
-        if own <= usual * SLOW_FROM:
-            # Differences this small are noise, and following them sends
-            # all callers to whichever endpoint was lucky lately.
-            return usual
-        faded = math.log(own / usual) * times.weight(now)
-        return usual * math.exp(faded)
+        if own <= service_mean * SLOW_RATIO:
+            # Smaller differences are noise; following them would send all
+            # callers to the endpoint with the luckiest recent calls.
+            return service_mean
+        log_ratio = math.log(own / service_mean) * times.weight(now)
+        return service_mean * math.exp(log_ratio)
--- a/sycamoreshed/routing/policies.py
+++ b/sycamoreshed/routing/policies.py
@@ -1,4 +1,4 @@
-"""Routing policies: each picks one endpoint from the candidates."""
+"""Routing policies, which select one of the candidate endpoints."""
 
 import random
 import typing
@@ -10,42 +10,42 @@
 __all__ = ["POLICIES", "RoutingContext"]
 
 POLICIES = registry.Registry(kind="routing policy")
-NEAR_SAMPLE = 2
-FAR_SAMPLE = 2
-# Round trips that are expected before any was measured.
-ZONE_S = 0.001
-REGION_S = 0.04
-# Part of a call's time that a cached prefix saves.
-CACHED_PART = 0.15
-# Of the first and the second home of a prefix.
-HOME_GAINS = (CACHED_PART, CACHED_PART / 2)
-# A cold adapter is loaded before the first token.
-COLD_FACTOR = 1.5
-LEAST_BUDGET_S = 0.001
+NEAR_SAMPLE_SIZE = 2
+FAR_SAMPLE_SIZE = 2
+# Assumed round trip times to another zone and to another region.
+ZONE_ROUND_TRIP_S = 0.001
+REGION_ROUND_TRIP_S = 0.04
+# Fraction of a call's time that a cached prefix saves.
+CACHED_SAVING = 0.15
+# Savings at the first and the second preferred endpoint of a prefix.
+PREFERENCE_SAVINGS = (CACHED_SAVING, CACHED_SAVING / 2)
+# Factor on a call's time if the endpoint has to load the adapter first.
+COLD_ADAPTER_FACTOR = 1.5
+MIN_BUDGET_S = 0.001
 
 
 class RoutingContext(typing.NamedTuple):
-    """What a policy may look at.
+    """Input of a policy besides the candidates.
 
     Parameters
     ----------
     zone, region : str
-        Of this instance.
+        Location of this instance.
     prefix : str or None
         Hash of the prompt's prefix.
     loads : Loads
-        Own calls in flight, lagged reports, measured times.
+        Load and speed of the endpoints.
     budget_s : float
-        Time the request has left.
-    crossing_bytes : float
+        Time until the deadline of the request.
+    transfer_bytes : float
         Bytes the call is expected to send and receive.
-    worth : Worth
-        What attainment and crossing are worth now.
+    prices : Prices
+        Current prices of attainment and of crossing regions.
     adapter : str or None
-    cached : float
-        From 0 to 1, how likely the prefix is cached at its home.
-    turn : int
-        Counts decisions, for taking turns.
+    cache_probability : float
+        Probability that the prefix is cached at its preferred endpoint.
+    decision_count : int
+        Number of decisions so far, for round robin.
     """
 
     zone: str
@@ -53,28 +53,28 @@
     prefix: str | None
     loads: typing.Any
     budget_s: float = 1.0
-    crossing_bytes: float = 0.0
-    worth: tariffs.Worth = tariffs.Worth(10.0, 1.0)
+    transfer_bytes: float = 0.0
+    prices: tariffs.Prices = tariffs.Prices(10.0, 1.0)
     adapter: str | None = None
-    cached: float = 1.0
-    turn: int = 0
+    cache_probability: float = 1.0
+    decision_count: int = 0
 
 
 @POLICIES.register("random")
-def at_random(candidates, context, now):
-    """Pick any; a baseline."""
+def random_choice(candidates, context, now):
+    """Select at random; a baseline."""
     return random.choice(candidates)
 
 
 @POLICIES.register("round_robin")
 def round_robin(candidates, context, now):
-    """Take turns; a baseline."""
-    return candidates[context.turn % len(candidates)]
+    """Select in turn; a baseline."""
+    return candidates[context.decision_count % len(candidates)]
 
 
 @POLICIES.register("least_loaded")
 def least_loaded(candidates, context, now):
-    """Pick the one with the fewest calls in flight; a baseline."""
+    """Select the endpoint with the lowest utilization; a baseline."""
     return min(
         candidates,
         key=lambda item: (
@@ -88,20 +88,20 @@
 
 @POLICIES.register("balanced")
 def balanced(candidates, context, now):
-    """Pick the cheapest of a few, by expected time and crossing.
+    """Select the cheapest of a few, by expected time and region crossing.
 
     Notes
     -----
-    Reports lag, so if all were compared every instance would send to
-    the same endpoint until the next report; each looks at a random few
-    and at the prefix's homes.
+    Reports lag, so if all candidates were compared, every instance would
+    send to the same endpoint until the next report.  Each instance compares
+    a random sample and the preferred endpoints of the prefix.
     """
-    gains, listed = _short_list(candidates, context, now)
-    return min(listed, key=lambda item: _cost(item, context, gains, now))
+    savings, shortlist = _shortlist(candidates, context, now)
+    return min(shortlist, key=lambda item: _cost(item, context, savings, now))
 
 
-def _short_list(candidates, context, now):
-    """Return what a cached prefix gains where, and all to compare."""
+def _shortlist(candidates, context, now):
+    """Return the prefix savings by endpoint, and the endpoints to compare."""
     same, near, far = [], [], []
     for item in candidates:
         if item.region != context.region:
@@ -110,40 +110,43 @@
             near.append(item)
         else:
             same.append(item)
-    home, gains = [], {}
-    if context.prefix is not None and context.cached:
+    preferred, savings = [], {}
+    if context.prefix is not None and context.cache_probability:
         scope = candidates
-        if (same or near) and _crossing_dear(same or near, context, now):
+        if (same or near) and _is_crossing_expensive(
+            same or near, context, now
+        ):
             scope = same + near
         key = f"{context.adapter or ''}/{context.prefix}"
-        home = affinity.homes(scope, key)
-        for item, part in zip(home, HOME_GAINS, strict=False):
-            gains[item.name] = part * context.cached
-    listed = [
-        *home,
-        *_sample(same, NEAR_SAMPLE),
-        *_sample(near, NEAR_SAMPLE),
-        *_sample(far, FAR_SAMPLE),
+        preferred = affinity.preferred_endpoints(scope, key)
+        for item, fraction in zip(preferred, PREFERENCE_SAVINGS, strict=False):
+            savings[item.name] = fraction * context.cache_probability
+    shortlist = [
+        *preferred,
+        *_sample(same, NEAR_SAMPLE_SIZE),
+        *_sample(near, NEAR_SAMPLE_SIZE),
+        *_sample(far, FAR_SAMPLE_SIZE),
     ]
-    return gains, listed
+    return savings, shortlist
 
 
-def _crossing_dear(near, context, now):
-    """Return whether a crossing costs more than a cached prefix gains.
+def _is_crossing_expensive(near, context, now):
+    """Return whether a crossing costs more than a cached prefix saves.
 
     Notes
     -----
-    Homes among all endpoints hold each prefix once, so that more of them
-    fit the caches; homes within the region spare the crossing.
+    Preferred endpoints among all candidates hold a prefix once for all
+    regions, so that more prefixes fit the caches; those within the region
+    avoid the crossing.
     """
-    seconds = context.loads.seconds(near[0], now)
-    part = seconds / max(context.budget_s, LEAST_BUDGET_S)
-    saved = part * part * (1.0 - (1.0 - CACHED_PART) ** 2)
-    return _crossing(context) > context.worth.attainment * saved
+    seconds = context.loads.expected_time_s(near[0], now)
+    fraction = seconds / max(context.budget_s, MIN_BUDGET_S)
+    saved = fraction * fraction * (1.0 - (1.0 - CACHED_SAVING) ** 2)
+    return _crossing_cost(context) > context.prices.attainment * saved
 
 
-def _crossing(context):
-    return context.worth.crossing_mb * context.crossing_bytes / 1e6
+def _crossing_cost(context):
+    return context.prices.crossing_mb * context.transfer_bytes / 1e6
 
 
 def _sample(items, count):
@@ -152,26 +155,26 @@
     return [random.choice(items) for _ in range(count)]
 
 
-def _cost(endpoint, context, gains, now):
-    """Return the cost units of sending there.
+def _cost(endpoint, context, savings, now):
+    """Return the cost of calling an endpoint, in cost units.
 
     Notes
     -----
-    The risk of being late grows with the square of the part of the time
-    left that the call takes: while there is plenty, saving some of it is
-    not worth a crossing.
+    The risk of missing the deadline grows with the square of the fraction
+    of the remaining time that the call takes: with ample time left, saving
+    some of it does not justify a crossing.
     """
-    seconds = context.loads.seconds(endpoint, now)
-    seconds *= 1.0 - gains.get(endpoint.name, 0.0)
+    seconds = context.loads.expected_time_s(endpoint, now)
+    seconds *= 1.0 - savings.get(endpoint.name, 0.0)
     if context.adapter is not None:
-        warm = context.loads.adapters(endpoint)
-        if warm is not None and context.adapter not in warm:
-            seconds *= COLD_FACTOR
+        loaded = context.loads.adapters(endpoint)
+        if loaded is not None and context.adapter not in loaded:
+            seconds *= COLD_ADAPTER_FACTOR
     cost = 0.0
     if endpoint.region != context.region:
-        seconds += REGION_S
-        cost = _crossing(context)
+        seconds += REGION_ROUND_TRIP_S
+        cost = _crossing_cost(context)
     elif endpoint.zone != context.zone:
-        seconds += ZONE_S
-    part = seconds / max(context.budget_s, LEAST_BUDGET_S)
-    return cost + context.worth.attainment * part * part
+        seconds += ZONE_ROUND_TRIP_S
+    fraction = seconds / max(context.budget_s, MIN_BUDGET_S)
+    return cost + context.prices.attainment * fraction * fraction
--- a/sycamoreshed/routing/prefixes.py
+++ b/sycamoreshed/routing/prefixes.py
@@ -1,47 +1,47 @@
-"""How likely a prompt's prefix is cached at its home."""
+"""Probability that a prompt's prefix is cached at its preferred endpoint."""
 
 import collections
 
-__all__ = ["Prefixes"]
+__all__ = ["PrefixHistory"]
 
-KEPT = 4096
-WEIGHT = 0.02
+MAX_PREFIXES = 4096
+SHARE_WEIGHT = 0.02
 
 
-class Prefixes:
-    """Prefixes this instance sent lately, and how often they return.
+class PrefixHistory:
+    """Recent prefixes at this instance, and how often prefixes repeat.
 
     Notes
     -----
-    Where prompts share no prefixes a home is as good as any endpoint,
-    and going there anyway would spread requests at random.
+    If prompts share no prefixes, a preferred endpoint has no advantage,
+    and preferring it would distribute requests at random.
 
     Examples
     --------
-    >>> prefixes = Prefixes()
-    >>> prefixes.chance("a"), prefixes.chance("b"), prefixes.chance("a")
-    (0.0, 0.0, 1.0)
-    >>> prefixes.chance("c")
+    >>> prefixes = PrefixHistory()
+    >>> [prefixes.hit_probability(prefix) for prefix in "aba"]
+    [0.0, 0.0, 1.0]
+    >>> prefixes.hit_probability("c")
     0.02
     """
 
-    def __init__(self, *, kept=KEPT):
-        self._kept = kept
-        self._seen = collections.OrderedDict()
-        self._share = 0.0
+    def __init__(self, *, max_prefixes=MAX_PREFIXES):
+        self._max_prefixes = max_prefixes
+        self._recent = collections.OrderedDict()
+        self._repeat_share = 0.0
 
-    def chance(self, prefix):
-        """Note a prefix; return from 0 to 1 how likely it is cached.
+    def hit_probability(self, prefix):
+        """Record a prefix; return the probability that it is cached.
 
-        That is one for a prefix seen lately.  Other instances may have
-        sent an unseen one home, so for it it is the share of requests
-        that return.
+        It is one for a recent prefix.  Any other may have been sent by
+        another instance, so its probability is the share of requests whose
+        prefix was a recent one.
         """
-        seen = prefix in self._seen
-        chance = 1.0 if seen else self._share
-        self._share += WEIGHT * (seen - self._share)
-        self._seen[prefix] = True
-        self._seen.move_to_end(prefix)
-        if len(self._seen) > self._kept:
-            self._seen.popitem(last=False)
-        return chance
+        is_repeated = prefix in self._recent
+        probability = 1.0 if is_repeated else self._repeat_share
+        self._repeat_share += SHARE_WEIGHT * (is_repeated - self._repeat_share)
+        self._recent[prefix] = True
+        self._recent.move_to_end(prefix)
+        if len(self._recent) > self._max_prefixes:
+            self._recent.popitem(last=False)
+        return probability
--- a/sycamoreshed/routing/router.py
+++ b/sycamoreshed/routing/router.py
@@ -1,4 +1,4 @@
-"""Chooses an endpoint for a stage and writes the decision line."""
+"""Selects the endpoint for a stage and logs the decision."""
 
 import datetime
 
@@ -20,7 +20,7 @@
 
 
 class Router:
-    """Chooses endpoints by the policy the settings name.
+    """Selects endpoints by the policy named in the settings.
 
     Parameters
     ----------
@@ -38,14 +38,14 @@
         self._hour = hour
         self._policy = policies.POLICIES.get(settings.routing)
         self._tariff = settings.tariff or tariffs.DEFAULT
-        self._turn = 0
-        self._prefixes = prefixes.Prefixes()
+        self._decision_count = 0
+        self._prefixes = prefixes.PrefixHistory()
         self.loads = loads.Loads(
             reports=lambda: membership.reports, hedging=settings.hedging
         )
 
     def choose(self, request, stage, now, *, avoid=(), prefix=None):
-        """Choose an endpoint for a stage.
+        """Select an endpoint for a stage.
 
         Parameters
         ----------
@@ -54,7 +54,7 @@
         now : float
             Monotonic seconds.
         avoid : collection of str
-            Names tried already; used again only if no other is left.
+            Endpoint names to use only if there is no other candidate.
         prefix : str, optional
 
         Returns
@@ -64,39 +64,41 @@
         candidates = self._membership.candidates(
             request.config, stage["service"], now
         )
-        usable = candidates
+        available = candidates
         if avoid:
             fresh = [item for item in candidates if item.name not in avoid]
-            usable = fresh or candidates
+            available = fresh or candidates
         choice = None
-        if usable:
+        if available:
             context = self._context(request, stage, now, prefix)
-            choice = self._policy(usable, context, now)
-        self._write(request, stage, usable, choice, now)
+            choice = self._policy(available, context, now)
+        self._log_decision(request, stage, available, choice, now)
         return choice
 
     def record_result(self, endpoint, call, result, started_at, now):
-        """Take in how a call ended, for later choices.
+        """Record the result of a call, for later choices.
 
         Parameters
         ----------
         endpoint : Endpoint
         call : Call
         result : StageAnswer, Failure or None
-            None if the call was given up.
+            None if the call was cancelled.
         started_at, now : float
             Monotonic seconds.
         """
         self.loads.record_end(endpoint)
-        whole = isinstance(result, adapters.StageAnswer)
-        refused = isinstance(result, kinds.Failure) and not result.sent
-        if not refused:
-            self.loads.observe(endpoint, now - started_at, now, whole=whole)
-        if whole:
-            self.loads.observe_size(call.stage, result.size)
+        completed = isinstance(result, adapters.StageAnswer)
+        rejected = isinstance(result, kinds.Failure) and not result.sent
+        if not rejected:
+            self.loads.observe_time(
+                endpoint, now - started_at, now, completed=completed
+            )
+        if completed:
+            self.loads.observe_bytes(call.stage, result.size)
 
     def _context(self, request, stage, now, prefix):
-        self._turn += 1
+        self._decision_count += 1
         hour = self._tariff.get("hour")
         if hour is None:
             hour = self._hour()
@@ -106,21 +108,23 @@
             prefix=prefix,
             loads=self.loads,
             budget_s=request.deadline - now,
-            crossing_bytes=self.loads.size(stage["name"]),
-            worth=tariffs.worth_at(self._tariff, hour),
+            transfer_bytes=self.loads.expected_bytes(stage["name"]),
+            prices=tariffs.prices_at(self._tariff, hour),
             adapter=stage.get("adapter"),
-            cached=0.0 if prefix is None else self._prefixes.chance(prefix),
-            turn=self._turn,
+            cache_probability=0.0
+            if prefix is None
+            else self._prefixes.hit_probability(prefix),
+            decision_count=self._decision_count,
         )
 
-    def _write(self, request, stage, usable, choice, now):
+    def _log_decision(self, request, stage, available, choice, now):
         self._log.write(
             now,
             "route",
             request=request.id,
             team=request.team,
             stage=stage["name"],
-            candidates=len(usable),
+            candidates=len(available),
             choice=choice.name if choice else None,
             why=self._settings.routing if choice else "no candidate",
         )
@@ -128,7 +132,7 @@
 
 @kernel.plugin("router", needs=("decisions", "membership", "notes"))
 async def router(core):
-    """Provide the router."""
+    """Provide the `Router` of this instance."""
     notes = core.part("notes")
     part = Router(
         settings=core.settings,
@@ -136,9 +140,9 @@
         log=core.part("decisions"),
     )
 
-    def forget():
+    def retain_current():
         groups = notes.config.endpoints.values()
-        part.loads.forget({item.name for group in groups for item in group})
+        part.loads.retain({item.name for group in groups for item in group})
 
-    notes.on_change(forget)
+    notes.on_change(retain_current)
     yield part
--- a/sycamoreshed/routing/tariffs.py
+++ b/sycamoreshed/routing/tariffs.py
@@ -1,19 +1,19 @@
-"""What attainment is worth against the cost of crossing regions."""
+"""Value of meeting deadlines against the cost of crossing regions."""
 
 import typing
 
-__all__ = ["DEFAULT", "Worth", "worth_at"]
+__all__ = ["DEFAULT", "Prices", "prices_at"]
 
 
-class Worth(typing.NamedTuple):
-    """Prices in force.
+class Prices(typing.NamedTuple):
+    """Prices that apply at a time.
 
     Parameters
     ----------
     attainment : float
-        Cost units one request answered in time is worth.
+        Value of a request answered in time, in cost units.
     crossing_mb : float
-        Cost units of a megabyte between regions.
+        Cost units per megabyte sent between regions.
     """
 
     attainment: float
@@ -23,7 +23,7 @@
 DEFAULT = {"attainment": 10.0, "crossing_mb": 1.0}
 
 
-def worth_at(tariff, hour):
+def prices_at(tariff, hour):
     """Return the prices at an hour of the day.
 
     Parameters
@@ -34,25 +34,25 @@
 
     Returns
     -------
-    Worth
+    Prices
 
     Examples
     --------
     >>> hours = [{"begin": 22, "end": 2, "attainment": 5.0}]
     >>> tariff = {"attainment": 1.0, "crossing_mb": 3.0, "hours": hours}
-    >>> worth_at(tariff, 1.5)
-    Worth(attainment=5.0, crossing_mb=3.0)
-    >>> worth_at(tariff, 2.0)
-    Worth(attainment=1.0, crossing_mb=3.0)
+    >>> prices_at(tariff, 1.5)
+    Prices(attainment=5.0, crossing_mb=3.0)
+    >>> prices_at(tariff, 2.0)
+    Prices(attainment=1.0, crossing_mb=3.0)
     """
     attainment = tariff["attainment"]
     for span in tariff.get("hours", ()):
-        if _within(span["begin"], span["end"], hour):
+        if _contains_hour(span["begin"], span["end"], hour):
             attainment = span["attainment"]
-    return Worth(attainment, tariff["crossing_mb"])
+    return Prices(attainment, tariff["crossing_mb"])
 
 
-def _within(begin, end, hour):
+def _contains_hour(begin, end, hour):
     if begin <= end:
         return begin <= hour < end
     return hour >= begin or hour < end
