--- a/sycamoreshed/admission/admission.py
+++ b/sycamoreshed/admission/admission.py
@@ -73,7 +73,8 @@
         -------
         Ticket or Failure
             A failure is returned at once if the team is over its limit or
-            the request would probably end late.
+            the request would probably end late, and later if the request
+            is evicted from the queue or not started in time.
         """
         service = gate_service(request.config, request.pipeline)
         gate = self._get_gate(service)
--- a/sycamoreshed/admission/fairqueue.py
+++ b/sycamoreshed/admission/fairqueue.py
@@ -213,7 +213,7 @@
             heapq.heappush(self._heap, (team.tag, self._push_count, name))
 
     def _reset(self):
-        """Drop all state: in an empty queue no team has a claim."""
+        """Drop all state: with an empty queue, past service has no effect."""
         self._teams.clear()
         self._heap.clear()
         self._virtual_time = 0.0
--- a/sycamoreshed/admission/gate.py
+++ b/sycamoreshed/admission/gate.py
@@ -65,7 +65,7 @@
         return len(self._queue)
 
     def run_time_estimate(self, pipeline):
-        """Return the `Estimate` of a pipeline's run time, without queueing."""
+        """Return the `Estimate` of a pipeline's time from start to release."""
         return self._run_times[pipeline]
 
     def rejection(self, entry, deadline, now):
--- a/sycamoreshed/admission/tests/test_fairqueue.py
+++ b/sycamoreshed/admission/tests/test_fairqueue.py
@@ -36,8 +36,8 @@
             removed = queue.pop() if number % 2 else queue.evict()
             del waiting[removed.request]
         elif waiting and number % 3 == 0:
-            _, gone = waiting.popitem()
-            queue.remove(gone)
+            _, cancelled = waiting.popitem()
+            queue.remove(cancelled)
         assert len(queue) == len(waiting)
     removed = [queue.pop().request for _ in range(len(queue))]
     assert sorted(removed) == sorted(waiting)
--- a/sycamoreshed/routing/estimates.py
+++ b/sycamoreshed/routing/estimates.py
@@ -30,17 +30,17 @@
     (1.0, 0.5)
     """
 
-    __slots__ = ("_measured_at", "_deviation", "_mean", "count")
+    __slots__ = ("_at", "_deviation", "_mean", "count")
 
     def __init__(self):
         self._mean = None
         self._deviation = 0.0
-        self._measured_at = 0.0
+        self._at = 0.0
         self.count = 0
 
     def add(self, seconds, now):
         """Add a measured duration."""
-        self._measured_at = now
+        self._at = now
         self.count += 1
         if self._mean is None:
             self._mean = seconds
@@ -74,7 +74,7 @@
 
     def weight(self, now):
         """Return the factor by which age reduces the estimate, at most one."""
-        age_s = now - self._measured_at - STALE_AFTER_S
+        age_s = now - self._at - STALE_AFTER_S
         if age_s <= 0:
             return 1.0
         return 0.5 ** (age_s / HALF_LIFE_S)
