--- a/sycamoreshed/orders/dispatch.py
+++ b/sycamoreshed/orders/dispatch.py
@@ -82,7 +82,7 @@
             why=step.why,
             fence=fence,
         )
-        longest = self._lease.terms.longest
+        longest = self._lease.terms.max_order_s
         result = await self._client.order(
             engine.endpoint,
             order,
--- a/sycamoreshed/orders/leadership.py
+++ b/sycamoreshed/orders/leadership.py
@@ -87,7 +87,7 @@
             await self._lease.release()
 
     def _wait_s(self, held):
-        seconds = self._lease.terms.seconds
+        seconds = self._lease.terms.duration_s
         if held:
             return seconds / RENEWALS
         names = self._peers(self._clock())
--- a/sycamoreshed/orders/leaseclient.py
+++ b/sycamoreshed/orders/leaseclient.py
@@ -1,4 +1,4 @@
-"""Keeps one lease in the table service."""
+"""Client of one lease in the table service."""
 
 import uuid
 
@@ -9,21 +9,21 @@
 
 __all__ = ["Lease"]
 
-# After a conflict the answer carries the row, which may turn out to be
-# our own write; one more try settles it.
-TRIES = 2
-SOON_S = 0.01
+# The response to a conflict carries the row, which may be an earlier own
+# write; a second attempt on that row is decisive.
+MAX_ATTEMPTS = 2
+READ_DELAY_S = 0.01
 
 
 class Lease:
-    """One named lease, as one candidate keeps it.
+    """One named lease, acquired and renewed by one candidate.
 
     Parameters
     ----------
     table : Table
     name : str
     holder : str
-        For people who read the row.
+        Name for people who read the row.
     terms : Terms
     clock : callable
         Returns monotonic seconds.
@@ -35,86 +35,87 @@
         self._holder = holder
         self._terms = terms
         self._clock = clock
-        self._standing = records.LeaseState()
+        self._state = records.LeaseState()
         self.reads = 0
         self.writes = 0
 
     @property
-    def standing(self):
-        """What is known of the lease."""
-        return self._standing
+    def state(self):
+        """State of the lease, as last recorded."""
+        return self._state
 
     @property
     def terms(self):
-        """Lengths of the lease."""
+        """Durations of the lease."""
         return self._terms
 
     @property
     def fence(self):
         """Fencing number of the lease last held, or None."""
-        held = self._standing.held
-        return held.fence if held else None
+        lease = self._state.lease
+        return lease.fence if lease else None
 
     @property
     def config(self):
-        """Configuration version the row names, or zero."""
-        held = self._standing.held
-        return held.config if held else 0
+        """Configuration version in the row, or zero."""
+        lease = self._state.lease
+        return lease.config if lease else 0
 
     def is_valid(self, now):
         """Return whether an order may be sent at monotonic time `now`."""
-        return leases.is_valid(self._standing, now, self._terms)
+        return leases.is_valid(self._state, now, self._terms)
 
     def record_fence(self, fence):
-        """Note a fencing number that an engine has met already."""
-        floor = max(self._standing.floor, fence)
-        self._standing = self._standing._replace(floor=floor)
+        """Record a fencing number that an engine has received."""
+        max_fence = max(self._state.max_fence, fence)
+        self._state = self._state._replace(max_fence=max_fence)
 
     def remaining_wait_s(self):
-        """Return seconds until the row may be taken, None if not waiting.
+        """Return seconds until the lease may be acquired, or None.
 
-        A read just after the wait is over takes the lease sooner than
-        the next regular one.
+        None means that the candidate is not waiting.  A read just after
+        the wait acquires the lease earlier than the next regular read.
         """
-        seen = self._standing.seen
+        seen = self._state.seen
         if seen is None:
             return None
-        wait = self._terms.seconds + self._terms.longest
-        left = seen.at + wait - self._clock()
-        return left + SOON_S if left > 0 else None
+        wait_s = self._terms.duration_s + self._terms.max_order_s
+        remaining_s = seen.seen_at + wait_s - self._clock()
+        return remaining_s + READ_DELAY_S if remaining_s > 0 else None
 
     async def renew(self, *, config=0):
-        """Take or renew the lease; return whether it is valid.
+        """Acquire or renew the lease; return whether it is valid.
 
         Parameters
         ----------
         config : int
-            Configuration version that orders will be given for.
+            Configuration version that orders will be sent for.
 
         Notes
         -----
-        A holder writes on the version it knows and reads nothing, which
-        halves what a lease costs the store.
+        A holder writes on the version it has recorded, without a read,
+        which halves the load of a lease on the store.
         """
-        row = await self._known_row()
+        row = await self._current_row()
         if not isinstance(row, kinds.Failure):
-            for _ in range(TRIES):
-                row = await self._try(row, config)
+            for _ in range(MAX_ATTEMPTS):
+                row = await self._write(row, config)
                 if row is None:
                     break
         return self.is_valid(self._clock())
 
     async def release(self):
-        """Give the lease up, after all own orders have ended.
+        """Release the lease, after all own orders have ended.
 
         Returns
         -------
         bool
-            Whether the store confirmed it; if not, the lease runs out.
+            Whether the store confirmed the release; if not, the lease
+            expires.
         """
         attempt = uuid.uuid4().hex
-        self._standing, write = leases.propose_release(
-            self._standing,
+        self._state, write = leases.propose_release(
+            self._state,
             self._key,
             self._terms,
             holder=self._holder,
@@ -126,21 +127,21 @@
         result = await self._table.write(write)
         return isinstance(result, tables.Written)
 
-    async def _known_row(self):
-        standing = self._standing
-        if standing.held is not None and not standing.sent:
-            return tables.Row(self._key, None, standing.held.version)
+    async def _current_row(self):
+        state = self._state
+        if state.lease is not None and not state.unanswered:
+            return tables.Row(self._key, None, state.lease.version)
         self.reads += 1
         row = await self._table.read(self._key)
         if not isinstance(row, kinds.Failure):
             self._observe(row)
         return row
 
-    async def _try(self, row, config):
-        """Send one write; return the row to try next, if any."""
+    async def _write(self, row, config):
+        """Send one write; return the row for a second attempt, if any."""
         attempt = uuid.uuid4().hex
-        self._standing, write = leases.propose(
-            self._standing,
+        self._state, write = leases.propose(
+            self._state,
             row,
             self._clock(),
             self._terms,
@@ -153,19 +154,19 @@
         self.writes += 1
         result = await self._table.write(write)
         if isinstance(result, tables.Written):
-            self._standing = leases.on_written(
-                self._standing, attempt, result.versions[0], self._terms
+            self._state = leases.on_written(
+                self._state, attempt, result.versions[0], self._terms
             )
             return None
         if isinstance(result, tables.Conflict):
             row = result.rows[0]
-            self._standing = leases.on_conflict(
-                self._standing, row, attempt, self._clock(), self._terms
+            self._state = leases.on_conflict(
+                self._state, row, attempt, self._clock(), self._terms
             )
             return row
         return None
 
     def _observe(self, row):
-        self._standing = leases.observe(
-            self._standing, row, self._clock(), self._terms
+        self._state = leases.observe(
+            self._state, row, self._clock(), self._terms
         )
--- a/sycamoreshed/orders/leases.py
+++ b/sycamoreshed/orders/leases.py
@@ -1,9 +1,9 @@
-"""How a lease is taken, kept and lost: decisions without any waiting.
+"""Rules of acquiring, renewing and losing a lease, as pure functions.
 
-Each function takes what a candidate knows, a row of the table service or
-the outcome of a write, and the present time, and returns what it knows
-next.  `sycamoreshed.orders.keeper` does the reading and writing; the
-tests drive the same functions through every order of events.
+Each function takes the state of a candidate, a row of the table service
+or the outcome of a write, and the current time, and returns the next
+state.  `sycamoreshed.orders.leaseclient` reads and writes the row; the
+tests run the same functions through every order of events.
 """
 
 from sycamoreshed.adapters import table as tables
@@ -19,35 +19,37 @@
     "propose_release",
 ]
 
-# Unanswered writes remembered; more than a few mean that the store is
-# away, and then the lease ends anyway.
-MOST_SENT = 8
+# Limit on the unanswered writes that are remembered.  More than a few mean
+# that the store is unavailable, and then the lease expires anyway.
+MAX_UNANSWERED = 8
 
 
-def is_valid(standing, now, terms):
-    """Return whether an order may leave at monotonic time `now`.
+def is_valid(state, now, terms):
+    """Return whether an order may be sent at monotonic time `now`.
 
     Examples
     --------
-    >>> held = records.HeldLease(fence=1, until=6.0, version=1, config=0)
-    >>> is_valid(records.LeaseState(held=held), 4.9, records.Terms())
+    >>> lease = records.HeldLease(
+    ...     fence=1, expires_at=6.0, version=1, config=0
+    ... )
+    >>> is_valid(records.LeaseState(lease=lease), 4.9, records.Terms())
     True
-    >>> is_valid(records.LeaseState(held=held), 5.0, records.Terms())
+    >>> is_valid(records.LeaseState(lease=lease), 5.0, records.Terms())
     False
     """
-    held = standing.held
-    return held is not None and now < held.until - terms.margin
+    lease = state.lease
+    return lease is not None and now < lease.expires_at - terms.margin_s
 
 
-def observe(standing, row, now, terms):
-    """Take in a row that was read, or returned with a conflict.
+def observe(state, row, now, terms):
+    """Update the state from a row, read or returned with a conflict.
 
     Parameters
     ----------
-    standing : LeaseState
+    state : LeaseState
     row : Row
     now : float
-        Monotonic seconds, from after the answer.
+        Monotonic seconds, taken after the response arrived.
     terms : Terms
 
     Returns
@@ -56,62 +58,63 @@
 
     Notes
     -----
-    Our own row is known by the id of the write and not by the holder's
-    name.  If the answer to a renewal was lost, the version is one we
-    have never seen, and a holder that went by versions would wait as a
-    stranger behind itself; an instance restarted under its old name
-    would take its predecessor's lease for its own and skip the wait.
+    A candidate recognizes its own row by the id of the write.  The
+    version does not suffice: if the response to a renewal was lost, the
+    holder has never seen the new version and would wait for its own
+    lease to expire.  Nor does the holder's name: an instance restarted
+    under the same name would treat the lease of its predecessor as its
+    own and skip the wait.
     """
     value = row.value or {}
-    own = _find(standing.sent, value.get("attempt"))
-    floor = max(standing.floor, value.get("fence", 0))
-    standing = standing._replace(floor=floor)
+    own = _find(state.unanswered, value.get("attempt"))
+    max_fence = max(state.max_fence, value.get("fence", 0))
+    state = state._replace(max_fence=max_fence)
     if own is not None and not value["released"]:
-        held = records.HeldLease(
-            own.fence, own.at + terms.seconds, row.version, own.config
+        lease = records.HeldLease(
+            own.fence, own.sent_at + terms.duration_s, row.version, own.config
         )
-        return standing._replace(held=held, seen=None, sent=())
-    if standing.seen is None or standing.seen.version != row.version:
-        standing = standing._replace(
-            seen=records.SeenVersion(row.version, now)
-        )
-    if not _is_own(standing, row) and not is_valid(standing, now, terms):
-        standing = standing._replace(held=None)
-    return standing
+        return state._replace(lease=lease, seen=None, unanswered=())
+    if state.seen is None or state.seen.version != row.version:
+        state = state._replace(seen=records.SeenVersion(row.version, now))
+    if not _is_own(state, row) and not is_valid(state, now, terms):
+        state = state._replace(lease=None)
+    return state
 
 
-def on_conflict(standing, row, attempt, now, terms):
-    """Take in that a write was refused, and the row that it met.
+def on_conflict(state, row, attempt, now, terms):
+    """Update the state after a write that was refused with a conflict.
 
     Parameters
     ----------
-    standing : LeaseState
+    state : LeaseState
     row : Row
-        Never stale: the store compared it with the write.
+        Current row, never stale: the store compared it with the write.
     attempt : str
     now : float
-        Monotonic seconds, from after the answer.
+        Monotonic seconds, taken after the response arrived.
     terms : Terms
 
     Returns
     -------
     LeaseState
-        Without the lease, unless the row is an earlier write of ours.
+        Without the lease, unless the row is an earlier own write.
     """
-    kept = tuple(item for item in standing.sent if item.attempt != attempt)
-    standing = observe(standing._replace(sent=kept), row, now, terms)
-    if _is_own(standing, row):
-        return standing
-    return standing._replace(held=None)
+    remaining = tuple(
+        item for item in state.unanswered if item.attempt != attempt
+    )
+    state = observe(state._replace(unanswered=remaining), row, now, terms)
+    if _is_own(state, row):
+        return state
+    return state._replace(lease=None)
 
 
-def can_acquire(standing, row, now, terms):
-    """Return whether a write to the row may be sent.
+def can_acquire(state, row, now, terms):
+    """Return whether the lease may be acquired or renewed now.
 
     Parameters
     ----------
-    standing : LeaseState
-        Which has observed `row`.
+    state : LeaseState
+        State after `observe` of `row`.
     row : Row
     now : float
     terms : Terms
@@ -122,76 +125,76 @@
 
     Notes
     -----
-    No clock is shared, so the wait is counted from when this candidate
-    first saw the row's version: by then the holder had sent its write,
-    and its lease ends no later than the candidate's count of it.  The
-    longest order is waited out as well, because an engine that ignores
-    the fencing number would take a late order of the old holder after
-    one of the new.  A row that is absent is waited for like any other;
-    it may have been lost under a holder.  The holder's terms count if
-    they are longer, as they are while settings are being changed.
+    Instances share no clock, so the wait starts when this candidate
+    first saw the row's version.  The holder had sent its write by then,
+    so its lease expires no later than the candidate computes.  The
+    maximum duration of an order is added, because an engine that ignores
+    the fencing number would accept a late order of the old holder after
+    one of the new holder.  The wait applies to an absent row as well; the
+    store may have lost it while the lease was held.  The holder's terms
+    apply if they are longer, as can happen while settings are changed.
     """
-    if _is_own(standing, row):
+    if _is_own(state, row):
         return True
     value = row.value or {}
     if value.get("released", False):
         return True
-    if standing.seen is None or standing.seen.version != row.version:
+    if state.seen is None or state.seen.version != row.version:
         return False
-    seconds = max(terms.seconds, value.get("seconds", 0.0))
-    longest = max(terms.longest, value.get("longest", 0.0))
-    return now - standing.seen.at > seconds + longest
+    duration_s = max(terms.duration_s, value.get("seconds", 0.0))
+    max_order_s = max(terms.max_order_s, value.get("longest", 0.0))
+    return now - state.seen.seen_at > duration_s + max_order_s
 
 
-def propose(standing, row, now, terms, *, holder, attempt, config=0):
-    """Prepare the write that takes or renews the lease.
+def propose(state, row, now, terms, *, holder, attempt, config=0):
+    """Prepare the write that acquires or renews the lease.
 
     Parameters
     ----------
-    standing : LeaseState
+    state : LeaseState
     row : Row
-        As last known; the write holds only on its version.
+        Last known row; the write is conditional on its version.
     now : float
         Monotonic seconds before the write is sent.
     terms : Terms
     holder : str
-        For people; decides nothing.
+        Name for people who read the row; no rule uses it.
     attempt : str
         Unique id of this write.
     config : int
-        Configuration version that orders will be given for.
+        Configuration version that orders will be sent for.
 
     Returns
     -------
     tuple of LeaseState and (Write or None)
     """
-    if not can_acquire(standing, row, now, terms):
-        return standing, None
+    if not can_acquire(state, row, now, terms):
+        return state, None
     value = row.value or {}
-    if _is_own(standing, row):
-        fence = standing.held.fence
-        config = max(config, standing.held.config)
+    if _is_own(state, row):
+        fence = state.lease.fence
+        config = max(config, state.lease.config)
     else:
-        fence = standing.floor + 1
+        fence = state.max_fence + 1
         config = max(config, value.get("config", 0))
-    # An engine has met a higher number than ours: the row was lost once
-    # and began again.  Orders would be refused for ever without this.
-    if fence < standing.floor:
-        fence = standing.floor + 1
-    sent = records.UnansweredWrite(attempt, now, fence, config)
+    # An engine has received a higher fencing number: the store lost the row,
+    # and the numbers restarted.  Engines would refuse all orders for good.
+    if fence < state.max_fence:
+        fence = state.max_fence + 1
+    pending = records.UnansweredWrite(attempt, now, fence, config)
     write = tables.Write(
-        row.key, _value(sent, holder, terms, released=False), row.version
+        row.key, _value(pending, holder, terms, released=False), row.version
     )
-    kept = (*standing.sent, sent)[-MOST_SENT:]
-    return standing._replace(sent=kept), write
+    unanswered = (*state.unanswered, pending)[-MAX_UNANSWERED:]
+    return state._replace(unanswered=unanswered), write
 
 
-def on_written(standing, attempt, version, terms):
-    """Take in that a write took effect.
+def on_written(state, attempt, version, terms):
+    """Update the state after a write that took effect.
 
     Parameters
     ----------
-    standing : LeaseState
+    state : LeaseState
     attempt : str
     version : int
         New version of the row.
@@ -201,53 +204,58 @@
     -------
     LeaseState
     """
-    sent = _find(standing.sent, attempt)
-    held = records.HeldLease(
-        sent.fence, sent.at + terms.seconds, version, sent.config
+    pending = _find(state.unanswered, attempt)
+    lease = records.HeldLease(
+        pending.fence,
+        pending.sent_at + terms.duration_s,
+        version,
+        pending.config,
+    )
+    max_fence = max(state.max_fence, pending.fence)
+    return records.LeaseState(
+        lease=lease, seen=None, unanswered=(), max_fence=max_fence
     )
-    floor = max(standing.floor, sent.fence)
-    return records.LeaseState(held=held, seen=None, sent=(), floor=floor)
 
 
-def propose_release(standing, key, terms, *, holder, attempt):
-    """Prepare the write that gives the lease up.
+def propose_release(state, key, terms, *, holder, attempt):
+    """Prepare the write that releases the lease.
 
     Returns
     -------
     tuple of LeaseState and (Write or None)
-        The standing holds nothing any more, whatever becomes of the
-        write: its answer may be lost.
+        The state has no lease, whatever the outcome of the write, since
+        its response may be lost.
 
     Notes
     -----
-    The successor does not wait after reading this, so it may be sent
-    only once every order of ours has ended.
+    The successor does not wait after it has read the released row, so
+    the write may be sent only once all own orders have ended.
     """
-    held = standing.held
-    after = records.LeaseState(floor=standing.floor)
-    if held is None:
-        return after, None
-    sent = records.UnansweredWrite(attempt, 0.0, held.fence, held.config)
-    value = _value(sent, holder, terms, released=True)
-    return after, tables.Write(key, value, held.version)
+    lease = state.lease
+    released = records.LeaseState(max_fence=state.max_fence)
+    if lease is None:
+        return released, None
+    pending = records.UnansweredWrite(attempt, 0.0, lease.fence, lease.config)
+    value = _value(pending, holder, terms, released=True)
+    return released, tables.Write(key, value, lease.version)
 
 
-def _is_own(standing, row):
-    held = standing.held
-    return held is not None and held.version == row.version
+def _is_own(state, row):
+    lease = state.lease
+    return lease is not None and lease.version == row.version
 
 
-def _find(sent, attempt):
-    return next((item for item in sent if item.attempt == attempt), None)
+def _find(writes, attempt):
+    return next((item for item in writes if item.attempt == attempt), None)
 
 
-def _value(sent, holder, terms, *, released):
+def _value(pending, holder, terms, *, released):
     return records.Value(
         holder=holder,
-        attempt=sent.attempt,
-        fence=sent.fence,
-        config=sent.config,
+        attempt=pending.attempt,
+        fence=pending.fence,
+        config=pending.config,
         released=released,
-        seconds=terms.seconds,
-        longest=terms.longest,
+        seconds=terms.duration_s,
+        longest=terms.max_order_s,
     )
--- a/sycamoreshed/orders/records.py
+++ b/sycamoreshed/orders/records.py
@@ -1,4 +1,4 @@
-"""What a candidate knows of a lease, and what the lease's row holds."""
+"""State that a candidate keeps of a lease, and the value of its row."""
 
 import typing
 
@@ -13,30 +13,31 @@
 
 
 class Terms(typing.NamedTuple):
-    """Lengths in seconds that make a lease safe.
+    """Durations that make a lease safe.
 
     Parameters
     ----------
-    seconds : float
-        Length of the lease.
-    margin : float
-        Time before its end from which the holder does not use it; must
-        exceed what two clocks can drift apart during the whole wait.
-    longest : float
-        Longest time between an order's leaving and its effect.
+    duration_s : float
+        Duration of the lease.
+    margin_s : float
+        Time before expiry during which the holder no longer uses the
+        lease; must exceed the drift of two clocks during the whole wait.
+    max_order_s : float
+        Maximum time between the sending of an order and its effect.
     """
 
-    seconds: float = 6.0
-    margin: float = 1.0
-    longest: float = 2.0
+    duration_s: float = 6.0
+    margin_s: float = 1.0
+    max_order_s: float = 2.0
 
 
 class Value(typing.TypedDict):
     """Value of a lease's row.
 
     ``attempt`` is unique for each write ever sent; ``config`` is the
-    highest configuration version that orders were given for;
-    ``seconds`` and ``longest`` are the holder's terms.
+    highest configuration version that orders were sent for; ``seconds``
+    and ``longest`` are ``duration_s`` and ``max_order_s`` of the holder's
+    terms.
     """
 
     holder: str
@@ -49,56 +50,56 @@
 
 
 class HeldLease(typing.NamedTuple):
-    """A lease as its holder knows it.
+    """A lease, as recorded by its holder.
 
     Parameters
     ----------
     fence : int
         Fencing number.
-    until : float
-        Monotonic end, counted from before the write was sent.
+    expires_at : float
+        Monotonic time, counted from before the write was sent.
     version : int
         Version of the row.
     config : int
-        Configuration version named in the row.
+        Configuration version in the row.
     """
 
     fence: int
-    until: float
+    expires_at: float
     version: int
     config: int
 
 
 class SeenVersion(typing.NamedTuple):
-    """When a candidate first saw a version of the row (monotonic)."""
+    """A version of the row and the monotonic time it was first seen."""
 
     version: int
-    at: float
+    seen_at: float
 
 
 class UnansweredWrite(typing.NamedTuple):
-    """A write whose answer has not come: its id, time and contents."""
+    """A write without a response: its id, time and contents."""
 
     attempt: str
-    at: float
+    sent_at: float
     fence: int
     config: int
 
 
 class LeaseState(typing.NamedTuple):
-    """What a candidate knows of a lease.
+    """State that a candidate keeps of a lease.
 
     Parameters
     ----------
-    held : HeldLease or None
+    lease : HeldLease or None
     seen : SeenVersion or None
-    sent : tuple of UnansweredWrite
-        Writes without an answer; any may have taken effect.
-    floor : int
+    unanswered : tuple of UnansweredWrite
+        Writes without a response; each may have taken effect.
+    max_fence : int
         Highest fencing number known to have been used.
     """
 
-    held: HeldLease | None = None
+    lease: HeldLease | None = None
     seen: SeenVersion | None = None
-    sent: tuple = ()
-    floor: int = 0
+    unanswered: tuple = ()
+    max_fence: int = 0
--- a/sycamoreshed/orders/tests/exploration.py
+++ b/sycamoreshed/orders/tests/exploration.py
@@ -1,12 +1,12 @@
 """Explores every order of events between two candidates and one store.
 
 Events: time passes, one clock drifts, a candidate reads, proposes a
-write, gives up waiting for its answer, restarts, stops and releases; the
-store applies or refuses a write that is on its way, at any later time.  A
-pause is a candidate to which nothing happens while time passes; a lost
-write is one that stays on its way.  What is driven are the deciding
-functions themselves.  Worlds that differ only in when they happen, or in
-times too long ago to matter, count as one, so all of them are visited.
+write, stops waiting for the response, restarts, stops and releases; the
+store applies or refuses a write in flight, at any later time.  A pause is
+a candidate without events while time passes; a lost write is one that
+stays in flight.  The exploration calls the functions of `leases` that the
+system uses.  Worlds that differ only in absolute time, or in times too
+long ago to matter, are equal, so that all of them can be visited.
 """
 
 import typing
@@ -16,47 +16,50 @@
 from sycamoreshed.orders import records
 
 KEY = "leases/z"
-TERMS = records.Terms(seconds=3, margin=1, longest=2)
-FOREVER = -9
+TERMS = records.Terms(duration_s=3, margin_s=1, max_order_s=2)
+LONG_AGO = -9
 
 
-class Frozen(dict):
-    """A row's value that can be part of a visited world."""
+class FrozenValue(dict):
+    """Hashable value of a row."""
 
     def __hash__(self):
         """Hash the attempt, which is unique for each value."""
         return hash(self["attempt"])
 
 
-class Side(typing.NamedTuple):
-    """One candidate: times by its own clock, `last` by the real one."""
+class Candidate(typing.NamedTuple):
+    """One candidate; its times are by its own clock, except two.
+
+    `stopped_at` and `last_order_at` are times of the world.
+    """
 
     clock: int = 0
-    standing: records.LeaseState = records.LeaseState()
-    waiting: str | None = None
+    state: records.LeaseState = records.LeaseState()
+    waiting_for: str | None = None
     attempts: int = 0
     restarts: int = 0
-    stopped: int | None = None
-    last: int = FOREVER
+    stopped_at: int | None = None
+    last_order_at: int = LONG_AGO
     fence: int = 0
 
 
 class World(typing.NamedTuple):
-    """The store, the writes under way and both candidates."""
+    """The store, the writes in flight and both candidates."""
 
     time: int = 0
     row: tables.Row = tables.Row(KEY, None, tables.ABSENT)
     version: int = 0
     drift: int = 0
-    flying: tuple = ()
+    in_flight: tuple = ()
     answers: tuple = ()
-    sides: tuple = (Side(), Side())
-    # Latest order and fence of processes that are gone.
-    gone: tuple = (FOREVER, 0)
+    candidates: tuple = (Candidate(), Candidate())
+    # Time of the last order and highest fence of restarted processes.
+    ended: tuple = (LONG_AGO, 0)
 
 
 class Bounds(typing.NamedTuple):
-    """How far to explore; writes proposed are counted for each side."""
+    """Limits; `attempts` are the writes each candidate may propose."""
 
     attempts: tuple = (2, 1)
     restarts: int = 0
@@ -65,26 +68,26 @@
 
 
 def explore(*, bounds, terms=TERMS):
-    """Visit reachable worlds; return their number and the first fault.
+    """Visit all reachable worlds; return their number and the first fault.
 
     Parameters
     ----------
     bounds : Bounds
     terms : Terms
     """
-    todo = [(World(), None)]
-    seen = {World()}
-    while todo:
-        world, trail = todo.pop()
+    pending = [(World(), None)]
+    visited = {World()}
+    while pending:
+        world, trail = pending.pop()
         for name, after in _steps(world, terms, bounds):
-            after, fault = _judge(world, after, terms)
+            after, fault = _check(world, after, terms)
             if fault:
-                return len(seen), [(fault, _path((name, trail)))]
+                return len(visited), [(fault, _path((name, trail)))]
             after = _canonical(after, terms)
-            if after not in seen:
-                seen.add(after)
-                todo.append((after, (name, trail)))
-    return len(seen), []
+            if after not in visited:
+                visited.add(after)
+                pending.append((after, (name, trail)))
+    return len(visited), []
 
 
 def _path(trail):
@@ -96,85 +99,112 @@
 
 
 def _steps(world, terms, bounds):
-    sides = [_shift(side) for side in world.sides]
-    yield "tick", world._replace(time=world.time + 1, sides=tuple(sides))
-    for index, side in enumerate(world.sides):
-        who = "ab"[index]
+    candidates = [_advance_clock(candidate) for candidate in world.candidates]
+    yield (
+        "tick",
+        world._replace(time=world.time + 1, candidates=tuple(candidates)),
+    )
+    for index, candidate in enumerate(world.candidates):
+        name = "ab"[index]
         if world.drift < bounds.drift:
             drifted = world._replace(drift=world.drift + 1)
-            yield f"{who} drifts", _put(drifted, index, _shift(side))
-        yield from _own_steps(world, index, side, terms, bounds)
-    for item in world.flying:
+            yield (
+                f"{name} drifts",
+                _with_candidate(drifted, index, _advance_clock(candidate)),
+            )
+        yield from _candidate_steps(world, index, candidate, terms, bounds)
+    for item in world.in_flight:
         yield from _store_steps(world, item, bounds)
     for item in world.answers:
         yield _answer_step(world, item, terms)
 
 
-def _own_steps(world, index, side, terms, bounds):
-    who = "ab"[index]
-    if side.waiting is not None:
+def _candidate_steps(world, index, candidate, terms, bounds):
+    name = "ab"[index]
+    if candidate.waiting_for is not None:
         yield (
-            f"{who} gives up",
-            _put(world, index, side._replace(waiting=None)),
+            f"{name} gives up",
+            _with_candidate(
+                world, index, candidate._replace(waiting_for=None)
+            ),
+        )
+    elif candidate.stopped_at is None:
+        state = leases.observe(
+            candidate.state, world.row, candidate.clock, terms
         )
-    elif side.stopped is None:
-        standing = leases.observe(side.standing, world.row, side.clock, terms)
-        read = side._replace(standing=standing)
-        yield f"{who} reads", _put(world, index, read)
-        if side.attempts < bounds.attempts[index]:
+        read = candidate._replace(state=state)
+        yield f"{name} reads", _with_candidate(world, index, read)
+        if candidate.attempts < bounds.attempts[index]:
             yield from _propose(world, index, read, world.row, terms)
-            held = side.standing.held
-            if held is not None and not side.standing.sent:
-                row = tables.Row(KEY, None, held.version)
-                yield from _propose(world, index, side, row, terms)
-        if leases.is_valid(side.standing, side.clock, terms):
-            stopped = side._replace(stopped=world.time)
-            yield f"{who} stops", _put(world, index, stopped)
-    elif world.time - side.stopped >= terms.longest:
-        yield from _release(world, index, side, terms)
-    if side.restarts < bounds.restarts and side.standing.held is not None:
-        gone = (max(world.gone[0], side.last), max(world.gone[1], side.fence))
-        fresh = Side(
-            clock=side.clock,
-            attempts=side.attempts,
-            restarts=side.restarts + 1,
+            lease = candidate.state.lease
+            if lease is not None and not candidate.state.unanswered:
+                row = tables.Row(KEY, None, lease.version)
+                yield from _propose(world, index, candidate, row, terms)
+        if leases.is_valid(candidate.state, candidate.clock, terms):
+            stopped = candidate._replace(stopped_at=world.time)
+            yield f"{name} stops", _with_candidate(world, index, stopped)
+    elif world.time - candidate.stopped_at >= terms.max_order_s:
+        yield from _release(world, index, candidate, terms)
+    if (
+        candidate.restarts < bounds.restarts
+        and candidate.state.lease is not None
+    ):
+        ended = (
+            max(world.ended[0], candidate.last_order_at),
+            max(world.ended[1], candidate.fence),
+        )
+        fresh = Candidate(
+            clock=candidate.clock,
+            attempts=candidate.attempts,
+            restarts=candidate.restarts + 1,
+        )
+        yield (
+            f"{name} restarts",
+            _with_candidate(world._replace(ended=ended), index, fresh),
         )
-        yield f"{who} restarts", _put(world._replace(gone=gone), index, fresh)
 
 
-def _propose(world, index, side, row, terms):
-    attempt = f"{'ab'[index]}{side.attempts}"
-    standing, write = leases.propose(
-        side.standing, row, side.clock, terms, holder="x", attempt=attempt
+def _propose(world, index, candidate, row, terms):
+    attempt = f"{'ab'[index]}{candidate.attempts}"
+    state, write = leases.propose(
+        candidate.state,
+        row,
+        candidate.clock,
+        terms,
+        holder="x",
+        attempt=attempt,
     )
     if write is None:
         return
-    side = side._replace(
-        standing=standing, waiting=attempt, attempts=side.attempts + 1
+    candidate = candidate._replace(
+        state=state, waiting_for=attempt, attempts=candidate.attempts + 1
+    )
+    yield (
+        f"{attempt} proposed",
+        _send(_with_candidate(world, index, candidate), index, write),
     )
-    yield f"{attempt} proposed", _send(_put(world, index, side), index, write)
 
 
-def _release(world, index, side, terms):
-    standing, write = leases.propose_release(
-        side.standing, KEY, terms, holder="x", attempt="r"
+def _release(world, index, candidate, terms):
+    state, write = leases.propose_release(
+        candidate.state, KEY, terms, holder="x", attempt="r"
     )
     if write is None:
         return
-    after = _put(world, index, side._replace(standing=standing))
+    after = _with_candidate(world, index, candidate._replace(state=state))
     yield f"{'ab'[index]} releases", _send(after, index, write)
 
 
 def _send(world, index, write):
-    write = write._replace(value=Frozen(write.value))
-    return world._replace(flying=(*world.flying, (index, write)))
+    write = write._replace(value=FrozenValue(write.value))
+    return world._replace(in_flight=(*world.in_flight, (index, write)))
 
 
 def _store_steps(world, item, bounds):
     index, write = item
     attempt = write.value["attempt"]
-    flying = tuple(other for other in world.flying if other is not item)
-    world = world._replace(flying=flying)
+    in_flight = tuple(other for other in world.in_flight if other is not item)
+    world = world._replace(in_flight=in_flight)
     if write.if_version != world.row.version:
         answer = (index, attempt, None, world.row)
         yield f"{attempt} refused", _send_answer(world, answer)
@@ -194,92 +224,94 @@
     index, attempt, version, row = answer
     answers = tuple(other for other in world.answers if other is not answer)
     world = world._replace(answers=answers)
-    side = world.sides[index]
+    candidate = world.candidates[index]
     if version is None:
-        standing = leases.on_conflict(
-            side.standing, row, attempt, side.clock, terms
+        state = leases.on_conflict(
+            candidate.state, row, attempt, candidate.clock, terms
         )
     else:
-        standing = leases.on_written(side.standing, attempt, version, terms)
-    side = side._replace(standing=standing, waiting=None)
-    return f"{attempt} answered", _put(world, index, side)
+        state = leases.on_written(candidate.state, attempt, version, terms)
+    candidate = candidate._replace(state=state, waiting_for=None)
+    return f"{attempt} answered", _with_candidate(world, index, candidate)
 
 
-def _judge(before, world, terms):
-    """Return the world with its latest orders, and a fault or None."""
-    old = (before.row.value or {}).get("fence", 0)
-    if (world.row.value or {}).get("fence", 0) < old:
+def _check(before, world, terms):
+    """Record the orders sent by now; return the world and a fault or None."""
+    old_fence = (before.row.value or {}).get("fence", 0)
+    if (world.row.value or {}).get("fence", 0) < old_fence:
         return world, "the fence fell"
-    for index, side in enumerate(world.sides):
-        if side.stopped is not None:
+    for index, candidate in enumerate(world.candidates):
+        if candidate.stopped_at is not None:
             continue
-        if not leases.is_valid(side.standing, side.clock, terms):
+        if not leases.is_valid(candidate.state, candidate.clock, terms):
             continue
-        other = world.sides[1 - index]
-        last = max(other.last, world.gone[0])
-        if last + terms.longest > world.time:
+        other = world.candidates[1 - index]
+        last_order_at = max(other.last_order_at, world.ended[0])
+        if last_order_at + terms.max_order_s > world.time:
             return world, "two holders' orders overlap"
-        fence = side.standing.held.fence
-        if fence <= max(other.fence, world.gone[1]):
+        fence = candidate.state.lease.fence
+        if fence <= max(other.fence, world.ended[1]):
             return world, "a later holder has no higher fence"
-        side = side._replace(last=world.time, fence=fence)
-        world = _put(world, index, side)
+        candidate = candidate._replace(last_order_at=world.time, fence=fence)
+        world = _with_candidate(world, index, candidate)
     return world, None
 
 
 def _canonical(world, terms):
-    """Return the world with present times zero and old times cut off."""
-    wait = terms.seconds + terms.longest + 1
-    sides = []
-    for side in world.sides:
-        now = side.clock
-        held, seen, sent, floor = side.standing
-        if held is not None:
-            until = max(held.until - now, terms.margin)
-            held = held._replace(until=until)
+    """Return the world with current times zero and old times clamped."""
+    wait_s = terms.duration_s + terms.max_order_s + 1
+    candidates = []
+    for candidate in world.candidates:
+        now = candidate.clock
+        lease, seen, unanswered, max_fence = candidate.state
+        if lease is not None:
+            expires_at = max(lease.expires_at - now, terms.margin_s)
+            lease = lease._replace(expires_at=expires_at)
         if seen is not None:
-            seen = seen._replace(at=max(seen.at - now, -wait))
-        sent = tuple(
-            item._replace(at=max(item.at - now, -terms.seconds))
-            for item in sent
+            seen = seen._replace(seen_at=max(seen.seen_at - now, -wait_s))
+        unanswered = tuple(
+            item._replace(sent_at=max(item.sent_at - now, -terms.duration_s))
+            for item in unanswered
         )
-        stopped = side.stopped
-        if stopped is not None:
-            stopped = max(stopped - world.time, -terms.longest)
-        sides.append(
-            side._replace(
+        stopped_at = candidate.stopped_at
+        if stopped_at is not None:
+            stopped_at = max(stopped_at - world.time, -terms.max_order_s)
+        candidates.append(
+            candidate._replace(
                 clock=0,
-                standing=records.LeaseState(held, seen, sent, floor),
-                stopped=stopped,
-                last=max(side.last - world.time, -terms.longest),
+                state=records.LeaseState(lease, seen, unanswered, max_fence),
+                stopped_at=stopped_at,
+                last_order_at=max(
+                    candidate.last_order_at - world.time, -terms.max_order_s
+                ),
             )
         )
-    last = max(world.gone[0] - world.time, -terms.longest)
-    flying = tuple(
+    last_order_at = max(world.ended[0] - world.time, -terms.max_order_s)
+    in_flight = tuple(
         (index, write)
-        for index, write in world.flying
+        for index, write in world.in_flight
         if write.if_version == world.row.version
-        or world.sides[index].waiting == write.value["attempt"]
+        or world.candidates[index].waiting_for == write.value["attempt"]
     )
     answers = tuple(
         answer
         for answer in world.answers
-        if world.sides[answer[0]].waiting == answer[1]
+        if world.candidates[answer[0]].waiting_for == answer[1]
     )
     return world._replace(
         time=0,
-        sides=tuple(sides),
-        gone=(last, world.gone[1]),
-        flying=flying,
+        candidates=tuple(candidates),
+        ended=(last_order_at, world.ended[1]),
+        in_flight=in_flight,
         answers=answers,
     )
 
 
-def _shift(side):
-    return side._replace(clock=side.clock + 1)
+def _advance_clock(candidate):
+    return candidate._replace(clock=candidate.clock + 1)
 
 
-def _put(world, index, side):
-    sides = list(world.sides)
-    sides[index] = side
-    return world._replace(sides=tuple(sides))
+def _with_candidate(world, index, candidate):
+    candidates = list(world.candidates)
+    candidates[index] = candidate
+    return world._replace(candidates=tuple(candidates))
--- a/sycamoreshed/orders/tests/test_dispatch.py
+++ b/sycamoreshed/orders/tests/test_dispatch.py
@@ -25,7 +25,7 @@
 
     fence = 3
     config = 7
-    terms = types.SimpleNamespace(longest=10.0)
+    terms = types.SimpleNamespace(max_order_s=10.0)
 
     def is_valid(self, _now):
         """Return that it is held."""
--- a/sycamoreshed/orders/tests/test_leaseclient.py
+++ b/sycamoreshed/orders/tests/test_leaseclient.py
@@ -7,14 +7,14 @@
 from sycamoreshed.orders import leaseclient
 from sycamoreshed.orders import records
 
-TERMS = records.Terms(seconds=6.0, margin=1.0, longest=2.0)
+TERMS = records.Terms(duration_s=6.0, margin_s=1.0, max_order_s=2.0)
 TIMEOUT_S = 5.0
 TAKEOVERS = 20
-MOST_STEPS = 20_000
+MAX_STEPS = 20_000
 
 
 class Clock:
-    """A clock that only the test moves."""
+    """A clock that only the test advances."""
 
     def __init__(self):
         self.now = 0.0
@@ -32,11 +32,11 @@
 
 @pytest.mark.parametrize("seed", range(4))
 async def test_faulty_store_never_makes_two_holders(seed):
-    """Reads are stale, answers are lost, writes take effect late.
+    """Reads are stale, responses are lost, writes take effect late.
 
-    With two holders at once each engine gets the orders of both.
+    With two holders at once, each engine would receive orders of both.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     clock = Clock()
     ends = {}
     fences = []
@@ -49,28 +49,30 @@
             "late_s": 0.01,
             "paths": ["/rows", "/transact"],
         }
-        sides = [_lease(session, proxy.address, clock, name) for name in "abc"]
-        # How many steps that takes depends on when late writes land.
-        for _ in range(MOST_STEPS):
+        leases = [
+            _lease(session, proxy.address, clock, name) for name in "abc"
+        ]
+        # The number of steps depends on when late writes take effect.
+        for _ in range(MAX_STEPS):
             if len(fences) > TAKEOVERS:
                 break
-            clock.now += chance.choice((0.0, 0.3, 1.0, 1.0, 4.0, 9.0))
-            side = chance.choice(sides)
-            await side.renew()
-            for item in sides:
+            clock.now += rng.choice((0.0, 0.3, 1.0, 1.0, 4.0, 9.0))
+            lease = rng.choice(leases)
+            await lease.renew()
+            for item in leases:
                 if not item.is_valid(clock.now):
                     continue
-                # Orders of the others have ended, the longest included.
+                # Orders of other holders have ended, even the longest.
                 for other, end in ends.items():
                     assert other is item or end <= clock.now
-                ends[item] = clock.now + TERMS.longest
+                ends[item] = clock.now + TERMS.max_order_s
                 if not fences or fences[-1] != item.fence:
                     fences.append(item.fence)
     assert len(fences) > TAKEOVERS
     assert fences == sorted(set(fences))
 
 
-async def test_holder_reads_nothing_and_writes_once_a_renewal():
+async def test_holder_renews_with_one_write_and_no_read():
     clock = Clock()
     async with serving.running("table") as (session, proxy, _):
         lease = _lease(session, proxy.address, clock, "a")
@@ -86,7 +88,7 @@
     assert lease.config == 3
 
 
-async def test_release_lets_the_next_one_in_at_once():
+async def test_successor_acquires_a_released_lease_at_once():
     clock = Clock()
     async with serving.running("table") as (session, proxy, _):
         first = _lease(session, proxy.address, clock, "a")
@@ -101,7 +103,7 @@
     assert second.fence == 2
 
 
-async def test_store_away_ends_the_lease_by_its_clock():
+async def test_lease_expires_while_the_store_is_unavailable():
     clock = Clock()
     async with serving.running("table") as (session, proxy, _):
         lease = _lease(session, proxy.address, clock, "a")
@@ -114,6 +116,6 @@
         clock.now += 0.2
         assert not await lease.renew()
         proxy.refuse = False
-        # Nobody else took it meanwhile, so no wait is needed.
+        # No other candidate acquired the lease, so there is no wait.
         assert await lease.renew()
     assert lease.fence == 1
