--- a/sycamoreshed/orders/__init__.py
+++ b/sycamoreshed/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines, under a lease."""
+"""Orders to engines, sent by the holder of a lease."""
--- a/sycamoreshed/orders/assignment.py
+++ b/sycamoreshed/orders/assignment.py
@@ -1,8 +1,8 @@
-"""Which engine of a zone is to have which placement.
+"""Assignment of the engines of a zone to placements.
 
-An assignment follows from the configuration and from what the engines
-have: whoever holds the wanted thing keeps it, so that a new engine or a
-new placement moves nobody else.
+An assignment follows from the configuration and from the models that the
+engines have loaded.  An engine that has loaded the target of a placement
+keeps it, so that a new engine or placement moves no other engine.
 """
 
 import enum
@@ -22,9 +22,9 @@
     ----------
     endpoint : Endpoint
     rack : str
-        What fails as one; the engine's own name if none is stated.
+        Failure domain; the name of the engine if none is configured.
     model : str or None
-        The only model its service takes, if that is stated.
+        The only model that its service accepts, if configured.
     """
 
     endpoint: typing.Any
@@ -38,30 +38,30 @@
 
 
 class Placement(typing.NamedTuple):
-    """A placement as one zone sees it.
+    """The part of a placement that concerns one zone.
 
     Parameters
     ----------
     name : str
     target : Target
     replicas : int
-    floor : int
-        Engines that go on serving while versions change.
-    size : float
-        Bytes of one load.
+    min_serving : int
+        Minimum of engines that keep serving while versions change.
+    load_bytes : float
+        Bytes of weights that one load fetches.
     """
 
     name: str
     target: dict
     replicas: int
-    floor: int
-    size: float
+    min_serving: int
+    load_bytes: float
 
 
 class _Fit(enum.IntEnum):
-    """How little has to change on an engine; less is better."""
+    """Extent of the change that an engine needs; the least is preferred."""
 
-    HAS_IT = 0
+    MATCHES = 0
     OTHER_VERSION = 1
     OTHER_ROLE = 2
     EMPTY = 3
@@ -96,7 +96,7 @@
 
 
 def placements(config, zone):
-    """Return the placements of a zone, in order of name.
+    """Return the placements of a zone, ordered by name.
 
     Parameters
     ----------
@@ -118,61 +118,63 @@
             "adapters": sorted(spec.get("adapters", ())),
             "role": spec.get("role", "both"),
         }
-        # Were all kept serving, none could ever load the new version.
-        floor = min(spec.get("floor", replicas - 1), replicas - 1)
-        size = spec.get("weight_bytes", 0.0)
-        result.append(Placement(name, target, replicas, floor, size))
+        # With a minimum of all replicas, none could load a new version.
+        min_serving = min(spec.get("floor", replicas - 1), replicas - 1)
+        load_bytes = spec.get("weight_bytes", 0.0)
+        result.append(
+            Placement(name, target, replicas, min_serving, load_bytes)
+        )
     return result
 
 
 def assign(zone_engines, zone_placements, states, dead):
-    """Assign engines to placements, moving as few as can be.
+    """Assign engines to placements, moving as few as possible.
 
     Parameters
     ----------
     zone_engines : dict of str to Engine
     zone_placements : list of Placement
     states : dict of str to State
-        As last read; engines that never answered are absent.
+        As last read; engines that never responded are absent.
     dead : set of str
-        Engines that have not answered for long; they get nothing, so
-        that others replace them.
+        Engines unresponsive for long; they are assigned nothing, so that
+        others replace them.
 
     Returns
     -------
     dict of str to Placement
-        By name of the engine.
+        By engine name.
     """
     wanted = {_identity(item.target) for item in zone_placements}
     free = {
         name: item for name, item in zone_engines.items() if name not in dead
     }
     missing = {item.name: item.replicas for item in zone_placements}
-    racks = {item.name: {} for item in zone_placements}
+    rack_counts_by_placement = {item.name: {} for item in zone_placements}
     result = {}
     for fit in _Fit:
         for placement in zone_placements:
-            ready = [
+            candidates = [
                 item
                 for name, item in free.items()
                 if item.model in (None, placement.target["model"])
                 and _fit(states.get(name), placement, wanted) is fit
             ]
-            used = racks[placement.name]
-            while ready and missing[placement.name]:
-                best = min(ready, key=_spread(placement, used))
-                ready.remove(best)
+            rack_counts = rack_counts_by_placement[placement.name]
+            while candidates and missing[placement.name]:
+                best = min(candidates, key=_rack_order(placement, rack_counts))
+                candidates.remove(best)
                 del free[best.name]
                 result[best.name] = placement
                 missing[placement.name] -= 1
-                used[best.rack] = used.get(best.rack, 0) + 1
+                rack_counts[best.rack] = rack_counts.get(best.rack, 0) + 1
     return result
 
 
-def _spread(placement, used):
+def _rack_order(placement, rack_counts):
     def key(engine):
         weight = rendezvous.rank(placement.name, engine.name)
-        return used.get(engine.rack, 0), weight
+        return rack_counts.get(engine.rack, 0), weight
 
     return key
 
@@ -180,17 +182,17 @@
 def _fit(state, placement, wanted):
     if state is NO_STATE:
         return _Fit.EMPTY
-    held = state.loading or state.loaded
-    if held is None:
+    current = state.loading or state.loaded
+    if current is None:
         return _Fit.EMPTY
     target = placement.target
-    if _identity(held) == _identity(target):
-        return _Fit.HAS_IT
-    if _identity(held) in wanted:
+    if _identity(current) == _identity(target):
+        return _Fit.MATCHES
+    if _identity(current) in wanted:
         return _Fit.WANTED_ELSEWHERE
-    if held["model"] != target["model"]:
+    if current["model"] != target["model"]:
         return _Fit.UNWANTED
-    if held["role"] == target["role"]:
+    if current["role"] == target["role"]:
         return _Fit.OTHER_VERSION
     return _Fit.OTHER_ROLE
 
--- a/sycamoreshed/orders/dispatch.py
+++ b/sycamoreshed/orders/dispatch.py
@@ -1,4 +1,4 @@
-"""Gives one order to one engine."""
+"""Sends one order to one engine."""
 
 import asyncio
 
@@ -9,16 +9,16 @@
 
 __all__ = ["Dispatcher"]
 
-# The word that an engine is about to load reaches the instances first.
-SPREAD_S = 0.4
-# Longest time that an engine's calls are waited for before a load.
-DRAIN_S = 6.0
-POLL_S = 0.25
+# Time for the report that an engine is about to load to reach all instances.
+REPORT_SPREAD_S = 0.4
+# Maximum wait for the running calls of an engine before a load.
+MAX_DRAIN_S = 6.0
+DRAIN_POLL_S = 0.25
 LOAD_TIMEOUT_S = 1.0
 
 
 class Dispatcher:
-    """Empties an engine if it serves, then sends the order.
+    """Drains an engine if it serves, then sends it an order.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
         self._unavailable = unavailable
         self._clock = clock
         self._log = log
-        self._unsure_until = 0.0
+        self._outstanding_until = 0.0
         self._orders = prometheus_client.Counter(
             "sycamoreshed_engine_orders",
             "Orders given to engines.",
@@ -46,18 +46,18 @@
 
     @property
     def outstanding_until(self):
-        """Monotonic time by which every order has ended."""
-        return self._unsure_until
+        """Monotonic time after which no sent order can take effect."""
+        return self._outstanding_until
 
     async def send(self, engine, step, fence):
-        """Give an order; return whether the engine took it.
+        """Send an order; return whether the engine accepted it.
 
         Parameters
         ----------
         engine : Engine
         step : Step
         fence : int
-            Fencing number of the lease the step was decided under.
+            Fencing number of the lease under which the step was planned.
 
         Returns
         -------
@@ -65,64 +65,64 @@
 
         Notes
         -----
-        Emptying an engine takes seconds, in which operators may decide
-        otherwise.  The step is given for the version that it was planned
-        on, or not at all: named for the newer one, the engine would load
-        what was replaced and tell that it is what operators decided.
+        Draining an engine takes seconds, during which operators may change
+        the configuration.  The order is sent for the version it was
+        planned for, or not at all.  Under the newer version, the engine
+        would load what was replaced and report it as the current target.
         """
         config = self._lease.config
         if step.interrupts:
-            await self._empty(engine)
+            await self._drain(engine)
         order = control.Order(fence=fence, config=config, target=step.target)
         self._log.write(
             self._clock(),
             "place",
             endpoint=engine.name,
             choice=step.target,
-            why=step.why,
+            why=step.reason,
             fence=fence,
         )
-        longest = self._lease.terms.max_order_s
+        max_order_s = self._lease.terms.max_order_s
         result = await self._client.order(
             engine.endpoint,
             order,
-            timeout=longest / 2,
+            timeout=max_order_s / 2,
             allowed=lambda: self._is_allowed(fence, config),
         )
-        self._take_outcome(result, self._clock() + longest)
+        self._record_outcome(result, self._clock() + max_order_s)
         return result is True
 
-    async def _empty(self, engine):
-        """Keep new calls from an engine, and let it finish those it has.
+    async def _drain(self, engine):
+        """Keep new calls from an engine, and let it finish running ones.
 
-        A load cuts streams off on some engines, and refuses calls on all
-        of them; callers would see the change of version as failures.
+        A load cuts off streams on some engines, and all engines refuse
+        calls during it; callers would see failures at a change of version.
         """
-        begin = self._clock()
-        self._unavailable.report(engine.name, True, begin)
-        await asyncio.sleep(SPREAD_S)
-        while self._clock() < begin + DRAIN_S:
+        started_at = self._clock()
+        self._unavailable.report(engine.name, True, started_at)
+        await asyncio.sleep(REPORT_SPREAD_S)
+        while self._clock() < started_at + MAX_DRAIN_S:
             load = await self._client.load(
                 engine.endpoint, timeout=LOAD_TIMEOUT_S
             )
             if isinstance(load, kinds.Failure) or not load.get("running"):
                 return
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(DRAIN_POLL_S)
 
     def _is_allowed(self, fence, config):
-        valid = self._lease.is_valid(self._clock())
-        return valid and (self._lease.fence, self._lease.config) == (
+        is_valid = self._lease.is_valid(self._clock())
+        return is_valid and (self._lease.fence, self._lease.config) == (
             fence,
             config,
         )
 
-    def _take_outcome(self, result, end):
+    def _record_outcome(self, result, ends_at):
         if isinstance(result, control.Outdated):
             self._lease.record_fence(result.fence)
             self._orders.labels("outdated").inc()
         elif isinstance(result, kinds.Failure):
             self._orders.labels(str(result.kind)).inc()
             if result.sent:
-                self._unsure_until = max(self._unsure_until, end)
+                self._outstanding_until = max(self._outstanding_until, ends_at)
         else:
             self._orders.labels("taken").inc()
--- a/sycamoreshed/orders/leadership.py
+++ b/sycamoreshed/orders/leadership.py
@@ -1,4 +1,4 @@
-"""The duty of giving a zone's orders: who has it, and handing it over."""
+"""Leadership of a zone: which instance may send orders to its engines."""
 
 import asyncio
 import contextlib
@@ -9,12 +9,12 @@
 
 __all__ = ["Leadership"]
 
-# Three renewals may fail in a row before the lease is not used any more.
-RENEWALS = 4
+# Three renewals in a row may fail before the lease is no longer used.
+RENEWALS_PER_LEASE = 4
 
 
 class Leadership:
-    """Keeps the zone's lease from the start of the process to its end.
+    """Acquires and renews the zone's lease while the process runs.
 
     Parameters
     ----------
@@ -22,7 +22,7 @@
     zone, instance : str
     notes : Notes
     peers : callable
-        Takes the present time, returns names of live instances here.
+        Takes the current time, returns names of the zone's live instances.
     clock : callable
     registry : CollectorRegistry
     """
@@ -47,52 +47,56 @@
 
     @property
     def stopping(self):
-        """Event that is set once no order may be begun any more."""
+        """Event that is set once no new order may start."""
         return self._stopping
 
     def can_order(self, now):
-        """Return whether orders for the version in force may leave.
+        """Return whether orders for the active configuration may be sent.
 
         Notes
         -----
-        A new holder may know less than the one before.  Were it to give
-        orders for its older version, engines would go back to what
-        operators had already replaced; the row names the version that
-        orders were given for.
+        A new holder may have an older configuration than its predecessor.
+        Orders for that version would return engines to what operators had
+        already replaced.  The row therefore holds the version that orders
+        were sent for.
         """
         version = self._notes.config.version
         return self._lease.is_valid(now) and version == self._lease.config
 
     async def run(self):
-        """Take the lease and renew it, until told to stop.
+        """Acquire the lease and renew it until `begin_stop`.
 
         A change of the configuration renews it at once, so that the row
-        names the new version before any order of it leaves.
+        holds the new version before any order for it is sent.
         """
         while not self._stopping.is_set():
             self._wake.clear()
-            held = await self._lease.renew(config=self._notes.config.version)
-            self._fence.set(self._lease.fence if held else 0)
+            is_holder = await self._lease.renew(
+                config=self._notes.config.version
+            )
+            self._fence.set(self._lease.fence if is_holder else 0)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._wake.wait(), self._wait_s(held))
+                await asyncio.wait_for(
+                    self._wake.wait(), self._delay_s(is_holder)
+                )
 
     def begin_stop(self):
-        """Renew no more, and let no order begin."""
+        """Stop renewing, and let no new order start."""
         self._stopping.set()
         self._wake.set()
 
     async def release(self):
-        """Give the lease up, if it is held and all orders have ended."""
+        """Release the lease if it is valid, after all orders have ended."""
         if self._lease.is_valid(self._clock()):
             await self._lease.release()
 
-    def _wait_s(self, held):
-        seconds = self._lease.terms.duration_s
-        if held:
-            return seconds / RENEWALS
+    def _delay_s(self, is_holder):
+        duration_s = self._lease.terms.duration_s
+        if is_holder:
+            return duration_s / RENEWALS_PER_LEASE
         names = self._peers(self._clock())
-        return pacing.standby_s(
-            first=pacing.stands_by(self._zone, self._instance, names),
-            quick=seconds / (RENEWALS - 1),
-            left=self._lease.remaining_wait_s(),
+        return pacing.standby_delay_s(
+            hot=pacing.is_hot_standby(self._zone, self._instance, names),
+            interval_s=duration_s / (RENEWALS_PER_LEASE - 1),
+            remaining_s=self._lease.remaining_wait_s(),
         )
--- a/sycamoreshed/orders/orders.py
+++ b/sycamoreshed/orders/orders.py
@@ -1,4 +1,4 @@
-"""The plug-in of orders to engines."""
+"""Plug-in that sends orders to engines."""
 
 from sycamoreshed.kernel import kernel
 from sycamoreshed.orders import dispatch
@@ -24,18 +24,18 @@
 
 @kernel.plugin("orders", needs=NEEDS)
 async def orders(core):
-    """Provide the zone's reconciler, and hand its duty over on a stop."""
-    loading = unavailable.UnavailableEngines(
+    """Provide the zone's reconciler, and release its lease on a stop."""
+    unavailable_engines = unavailable.UnavailableEngines(
         gossip=core.part("gossip"), instance=core.settings.instance
     )
-    core.part("membership").withhold(loading.names)
+    core.part("membership").withhold(unavailable_engines.names)
     lease = _lease(core)
-    held = _leadership(core, lease)
-    part = _reconciler(core, lease, held, loading)
+    zone_leadership = _leadership(core, lease)
+    part = _reconciler(core, lease, zone_leadership, unavailable_engines)
     core.control.router.add_get("/control/orders", part.status)
-    core.spawn(held.run(), name="lease on orders")
+    core.spawn(zone_leadership.run(), name="lease on orders")
     core.spawn(part.run(), name="orders")
-    core.spawn(_stop_with(core, part), name="end of orders")
+    core.spawn(_stop_on_shutdown(core, part), name="end of orders")
     yield part
     await part.stop()
 
@@ -72,29 +72,29 @@
     )
 
 
-def _reconciler(core, lease, held, loading):
+def _reconciler(core, lease, zone_leadership, unavailable_engines):
     dispatcher = dispatch.Dispatcher(
         lease=lease,
         client=core.part("engines"),
-        unavailable=loading,
+        unavailable=unavailable_engines,
         clock=core.clock,
         log=core.part("decisions"),
         registry=core.part("metrics").registry,
     )
     return reconciler.Reconciler(
-        leadership=held,
+        leadership=zone_leadership,
         lease=lease,
         dispatcher=dispatcher,
         zone=core.settings.zone,
         notes=core.part("notes"),
         client=core.part("engines"),
-        pace=pacing.LoadPacer(rate=core.settings.weight_rate),
-        unavailable=loading,
+        pacer=pacing.LoadPacer(rate=core.settings.weight_rate),
+        unavailable=unavailable_engines,
         settings=core.settings,
         clock=core.clock,
     )
 
 
-async def _stop_with(core, part):
+async def _stop_on_shutdown(core, part):
     await core.stopping.wait()
     await part.stop()
--- a/sycamoreshed/orders/pacing.py
+++ b/sycamoreshed/orders/pacing.py
@@ -1,34 +1,34 @@
-"""How fast loads, retries and standby reads follow one another."""
+"""Pacing of loads, retries of orders, and reads by standby instances."""
 
 import random
 
 from sycamoreshed.membership import rendezvous
 
-__all__ = ["LoadPacer", "backoff", "standby_s", "stands_by"]
+__all__ = ["LoadPacer", "backoff_s", "is_hot_standby", "standby_delay_s"]
 
-FIRST_S = 0.5
-LONGEST_S = 10.0
-# So many instances of a zone stand by at the quick interval; the others
-# read rarely, in case all of these are gone.
-STANDBYS = 3
-SLOWER = 30
+INITIAL_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 10.0
+# Instances of a zone that read the lease at the short interval; the others
+# read rarely, in case all of these have stopped.
+HOT_STANDBYS = 3
+COLD_INTERVAL_FACTOR = 30
 JITTER = 0.25
 
 
 class LoadPacer:
-    """Spaces out loads so that a zone keeps to its rate.
+    """Delays loads so that a zone stays within its rate.
 
     Parameters
     ----------
     rate : float
-        Bytes a second; zero for no limit.
+        Bytes per second; zero for no limit.
 
     Examples
     --------
-    >>> pace = LoadPacer(rate=10.0)
-    >>> pace.take(50.0, now=0.0), pace.take(1.0, now=4.9)
+    >>> pacer = LoadPacer(rate=10.0)
+    >>> pacer.try_start(50.0, now=0.0), pacer.try_start(1.0, now=4.9)
     (True, False)
-    >>> pace.take(1.0, now=5.0)
+    >>> pacer.try_start(1.0, now=5.0)
     True
     """
 
@@ -36,30 +36,33 @@
         self._rate = rate
         self._free_at = 0.0
 
-    def take(self, size, *, now):
-        """Return whether a load of `size` bytes may begin at `now`."""
-        if not self._rate or not size:
+    def try_start(self, size_bytes, *, now):
+        """Return whether a load may start at `now`; if so, count it."""
+        if not self._rate or not size_bytes:
             return True
         if now < self._free_at:
             return False
-        self._free_at = now + size / self._rate
+        self._free_at = now + size_bytes / self._rate
         return True
 
-    def add(self, size, *, now):
-        """Count a load that was begun by the holder before."""
+    def record_start(self, size_bytes, *, now):
+        """Count a load that the previous holder has started."""
         if self._rate:
             start = max(now, self._free_at)
-            self._free_at = start + size / self._rate
+            self._free_at = start + size_bytes / self._rate
 
 
-def backoff(failures):
-    """Return seconds until the next try after that many failures."""
-    longest = min(FIRST_S * 2 ** (failures - 1), LONGEST_S)
-    return random.uniform(longest / 2, longest)
+def backoff_s(failures):
+    """Return the seconds to wait after consecutive failures."""
+    max_s = min(INITIAL_BACKOFF_S * 2 ** (failures - 1), MAX_BACKOFF_S)
+    return random.uniform(max_s / 2, max_s)
 
 
-def stands_by(zone, own, names):
-    """Return whether an instance is one of the first to take over.
+def is_hot_standby(zone, own, names):
+    """Return whether an instance is one of the zone's hot standbys.
+
+    Hot standbys read the row of the lease at the short interval and so
+    are the first to take over.
 
     Parameters
     ----------
@@ -67,26 +70,26 @@
     own : str
         Name of this instance.
     names : list of str
-        Live instances of the zone, as far as they are known.
+        Live instances of the zone, as far as this one has recorded.
 
     Returns
     -------
     bool
     """
-    return own in rendezvous.top(f"orders/{zone}", {*names, own}, STANDBYS)
+    return own in rendezvous.top(f"orders/{zone}", {*names, own}, HOT_STANDBYS)
 
 
-def standby_s(*, first, quick, left):
-    """Return seconds until an instance without the lease reads its row.
+def standby_delay_s(*, hot, interval_s, remaining_s):
+    """Return the seconds until a standby reads the row of the lease.
 
     Parameters
     ----------
-    first : bool
-        Whether it is one of the first to take over.
-    quick : float
-        Seconds between the reads of those.
-    left : float or None
-        Seconds until the row may be taken if it does not change.
+    hot : bool
+        Whether the instance is a hot standby.
+    interval_s : float
+        Seconds between the reads of hot standbys.
+    remaining_s : float or None
+        Seconds until the lease may be acquired if the row is unchanged.
 
     Returns
     -------
@@ -94,10 +97,14 @@
 
     Notes
     -----
-    Only the first ones read at the very end of their wait.  The row
-    changes with every renewal, so there is always a wait, and all
-    instances would read once a wait and not once in a long while.
+    Only hot standbys read as soon as the wait for the lease ends.  Each
+    renewal changes the row and restarts the wait, so otherwise all
+    instances would read once per wait, however long their interval.
     """
-    seconds = quick if first else SLOWER * quick
-    seconds *= random.uniform(1 - JITTER, 1 + JITTER)
-    return min(seconds, left) if first and left is not None else seconds
+    delay_s = interval_s if hot else COLD_INTERVAL_FACTOR * interval_s
+    delay_s *= random.uniform(1 - JITTER, 1 + JITTER)
+    return (
+        min(delay_s, remaining_s)
+        if hot and remaining_s is not None
+        else delay_s
+    )
--- a/sycamoreshed/orders/reconciler.py
+++ b/sycamoreshed/orders/reconciler.py
@@ -1,8 +1,8 @@
-"""Brings a zone's engines to what the configuration says.
+"""Reconciles the engines of a zone with the configuration.
 
-The holder of the lease reads the engines back, decides which orders may
-be given now, gives them and reads back again, until all hold.  Each
-engine's look or order is a task of its own.
+The holder of the lease reads the state of the engines, selects the orders
+that may be sent now, sends them and reads again, until all engines have
+their targets.  Each read or order of an engine is a task of its own.
 """
 
 import asyncio
@@ -17,10 +17,10 @@
 
 __all__ = ["Reconciler"]
 
-ROUND_S = 0.25
-# A slow engine holds one of these, and nobody else.
-IN_FLIGHT = 32
-LOOK_S = 1.0
+ROUND_INTERVAL_S = 0.25
+# A slow engine occupies one of these tasks and delays no other engine.
+MAX_IN_FLIGHT = 32
+READ_TIMEOUT_S = 1.0
 
 
 class Reconciler:
@@ -34,7 +34,7 @@
     zone : str
     notes : Notes
     client : Engines
-    pace : LoadPacer
+    pacer : LoadPacer
     unavailable : UnavailableEngines
     settings : Settings
     clock : callable
@@ -49,7 +49,7 @@
         zone,
         notes,
         client,
-        pace,
+        pacer,
         unavailable,
         settings,
         clock,
@@ -60,54 +60,54 @@
         self._zone = zone
         self._notes = notes
         self._client = client
-        self._pace = pace
+        self._pacer = pacer
         self._unavailable = unavailable
-        self._loads = settings.loads_at_once
-        self._look_s = settings.order_look_s
+        self._load_slots = settings.loads_at_once
+        self._max_read_interval_s = settings.order_look_s
         self._clock = clock
-        self._watches = {}
-        self._busy = {}
+        self._trackers = {}
+        self._tasks = {}
         self._assigned = {}
         self._engines = {}
         self._placements = []
-        self._mark = None
-        self._stale = True
-        self._fresh = True
-        self._ended = asyncio.Event()
+        self._epoch = None
+        self._is_plan_stale = True
+        self._is_new_holder = True
+        self._stopped = asyncio.Event()
 
     async def run(self):
-        """Reconcile again and again, until told to stop."""
+        """Run reconciliation rounds until `stop`."""
         stopping = self._leadership.stopping
         while not stopping.is_set():
             now = self._clock()
             if self._leadership.can_order(now):
-                self._round(now)
+                self._run_round(now)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(stopping.wait(), ROUND_S)
+                await asyncio.wait_for(stopping.wait(), ROUND_INTERVAL_S)
 
     async def stop(self):
-        """End all own orders, then give the lease up.
+        """Wait for all own orders to end, then release the lease.
 
         Notes
         -----
         The successor does not wait after a release.  An order whose
-        answer was lost may still take effect, so the release is written
-        only once the longest order is over.
+        response was lost may still take effect, so the release is written
+        only after the maximum duration of an order.
         """
         if self._leadership.stopping.is_set():
-            await self._ended.wait()
+            await self._stopped.wait()
             return
         self._leadership.begin_stop()
-        await asyncio.gather(*self._busy.values(), return_exceptions=True)
-        left = self._dispatcher.outstanding_until - self._clock()
-        await asyncio.sleep(max(0.0, left))
+        await asyncio.gather(*self._tasks.values(), return_exceptions=True)
+        remaining_s = self._dispatcher.outstanding_until - self._clock()
+        await asyncio.sleep(max(0.0, remaining_s))
         await self._leadership.release()
-        self._ended.set()
+        self._stopped.set()
 
     async def status(self, _http):
-        """Answer an operator with the lease and the engines."""
+        """Serve the state of the lease and the engines to operators."""
         now = self._clock()
-        names = sorted(self._watches)
+        names = sorted(self._trackers)
         return web.json_response(
             {
                 "zone": self._zone,
@@ -123,136 +123,144 @@
         )
 
     def _describe(self, name, now):
-        watch = self._watches[name]
-        state = watch.state
+        tracker = self._trackers[name]
+        state = tracker.state
         return {
             "wanted": self._target(name),
             "loaded": state and state.loaded,
             "loading": state and state.loading,
-            "dead": watch.is_dead(now),
+            "dead": tracker.is_dead(now),
         }
 
-    def _round(self, now):
-        mark = (self._lease.fence, self._notes.config.version)
-        if self._mark != mark:
-            self._begin(mark)
-        if self._stale and self._is_surveyed():
+    def _run_round(self, now):
+        epoch = (self._lease.fence, self._notes.config.version)
+        if self._epoch != epoch:
+            self._start_epoch(epoch)
+        if self._is_plan_stale and self._has_read_all():
             self._plan(now)
-        for name, watch in self._watches.items():
-            if watch.look_at <= now:
-                self._start(name, self._look(self._engines[name], mark))
+        for name, tracker in self._trackers.items():
+            if tracker.next_read_at <= now:
+                self._start(name, self._read(self._engines[name], epoch))
 
-    def _begin(self, mark):
-        """Start on a new lease or a new version."""
-        kept = self._watches
-        if self._mark is None or self._mark[0] != mark[0]:
-            # What was read before another held the lease tells nothing.
-            kept = {}
-            self._fresh = True
-        self._mark = mark
+    def _start_epoch(self, epoch):
+        """Start an epoch: a new lease or a new configuration version."""
+        existing = self._trackers
+        if self._epoch is None or self._epoch[0] != epoch[0]:
+            # States read before another instance held the lease are outdated.
+            existing = {}
+            self._is_new_holder = True
+        self._epoch = epoch
         config = self._notes.config
         self._engines = assignment.engines(config, self._zone)
         self._placements = assignment.placements(config, self._zone)
-        self._watches = {
-            name: kept.get(name)
-            or tracking.EngineTracker(longest=self._look_s)
+        self._trackers = {
+            name: existing.get(name)
+            or tracking.EngineTracker(max_interval_s=self._max_read_interval_s)
             for name in self._engines
         }
-        for watch in self._watches.values():
-            watch.hurry()
-        self._stale = True
+        for tracker in self._trackers.values():
+            tracker.read_soon()
+        self._is_plan_stale = True
 
-    def _is_surveyed(self):
-        """Return whether each engine has been asked at least once.
+    def _has_read_all(self):
+        """Return whether each engine has been read at least once.
 
-        Orders on the first answers alone would move what others have.
+        Orders planned from some of the engines would move placements that
+        engines not yet read have loaded.
         """
         return all(
-            watch.state is not None or watch.silent_since is not None
-            for watch in self._watches.values()
+            tracker.state is not None or tracker.unresponsive_since is not None
+            for tracker in self._trackers.values()
         )
 
     def _plan(self, now):
-        known = {
-            name: watch
-            for name, watch in self._watches.items()
-            if watch.state is not None
+        responded = {
+            name: tracker
+            for name, tracker in self._trackers.items()
+            if tracker.state is not None
         }
         dead = {
-            name for name, item in self._watches.items() if item.is_dead(now)
+            name for name, item in self._trackers.items() if item.is_dead(now)
         }
         self._assigned = assignment.assign(
             self._engines,
             self._placements,
-            {name: watch.state for name, watch in known.items()},
+            {name: tracker.state for name, tracker in responded.items()},
             dead,
         )
-        if self._fresh:
-            self._fresh = False
-            self._count_loads(known, now)
-        answering = {
-            name: watch.state
-            for name, watch in known.items()
-            if watch.silent_since is None
+        if self._is_new_holder:
+            self._is_new_holder = False
+            self._count_started_loads(responded, now)
+        responsive = {
+            name: tracker.state
+            for name, tracker in responded.items()
+            if tracker.unresponsive_since is None
         }
         steps = rollout.steps(
             self._assigned,
             self._placements,
-            answering,
+            responsive,
             dead,
-            loads=self._loads,
-            pending={name for name, watch in known.items() if watch.pending},
+            load_slots=self._load_slots,
+            pending={
+                name for name, tracker in responded.items() if tracker.pending
+            },
         )
-        # A step that has to wait is planned again.
-        self._stale = bool(steps)
+        # Steps that have to wait are planned again.
+        self._is_plan_stale = bool(steps)
         for step in steps:
             self._try_step(step, now)
 
-    def _count_loads(self, known, now):
-        """Count what the holder before has begun against the rate."""
-        for name, watch in known.items():
+    def _count_started_loads(self, responded, now):
+        """Count loads started by the previous holder against the rate."""
+        for name, tracker in responded.items():
             placement = self._assigned.get(name)
-            if placement is not None and watch.state.loading is not None:
-                self._pace.add(placement.size, now=now)
+            if placement is not None and tracker.state.loading is not None:
+                self._pacer.record_start(placement.load_bytes, now=now)
 
     def _try_step(self, step, now):
-        watch = self._watches[step.engine]
-        if watch.order_at > now or watch.state.config > self._lease.config:
+        tracker = self._trackers[step.engine]
+        if (
+            tracker.next_order_at > now
+            or tracker.state.config > self._lease.config
+        ):
             return
-        if step.engine in self._busy or len(self._busy) >= IN_FLIGHT:
+        if step.engine in self._tasks or len(self._tasks) >= MAX_IN_FLIGHT:
             return
-        if not self._pace.take(step.size, now=now):
+        if not self._pacer.try_start(step.load_bytes, now=now):
             return
-        watch.pending = True
+        tracker.pending = True
         engine = self._engines[step.engine]
-        self._start(step.engine, self._order(engine, watch, step))
+        self._start(step.engine, self._send_order(engine, tracker, step))
 
     def _start(self, name, coro):
-        if name in self._busy or len(self._busy) >= IN_FLIGHT:
+        if name in self._tasks or len(self._tasks) >= MAX_IN_FLIGHT:
             coro.close()
             return
         task = asyncio.create_task(coro, name=f"orders {name}")
-        self._busy[name] = task
-        task.add_done_callback(lambda _: self._busy.pop(name, None))
+        self._tasks[name] = task
+        task.add_done_callback(lambda _: self._tasks.pop(name, None))
 
     def _target(self, name):
         placement = self._assigned.get(name)
         return placement.target if placement else None
 
-    async def _look(self, engine, mark):
-        state = await self._client.state(engine.endpoint, timeout=LOOK_S)
-        watch = self._watches.get(engine.name)
-        if watch is None or self._mark != mark:
+    async def _read(self, engine, epoch):
+        state = await self._client.state(
+            engine.endpoint, timeout=READ_TIMEOUT_S
+        )
+        tracker = self._trackers.get(engine.name)
+        if tracker is None or self._epoch != epoch:
             return
         now = self._clock()
         if isinstance(state, control.State):
             self._lease.record_fence(state.fence)
-            # Repeats that it does not serve, or tells that it does again.
+            # Repeats that it does not serve, or reports that it serves again.
             self._unavailable.report(engine.name, not state.serving, now)
-        if watch.take(state, self._target(engine.name), now):
-            self._stale = True
+        if tracker.record_read(state, self._target(engine.name), now):
+            self._is_plan_stale = True
 
-    async def _order(self, engine, watch, step):
-        taken = await self._dispatcher.send(engine, step, self._mark[0])
-        watch.ordered(self._clock(), ok=taken)
-        self._stale = True
+    async def _send_order(self, engine, tracker, step):
+        accepted = await self._dispatcher.send(engine, step, self._epoch[0])
+        tracker.record_order(self._clock(), accepted=accepted)
+        self._is_plan_stale = True
--- a/sycamoreshed/orders/rollout.py
+++ b/sycamoreshed/orders/rollout.py
@@ -1,4 +1,4 @@
-"""Which orders may be given now, without too few engines serving."""
+"""Selects the orders to send now while enough engines keep serving."""
 
 import collections
 import typing
@@ -7,30 +7,30 @@
 
 
 class Step(typing.NamedTuple):
-    """An order that may be given now.
+    """An order that may be sent now.
 
     Parameters
     ----------
     engine : str
     target : Target or None
         None unloads.
-    size : float
-        Bytes that it takes from the weight store.
+    load_bytes : float
+        Bytes that the engine fetches from the weight store.
     interrupts : bool
         Whether the engine serves now and will not during the load.
-    why : str
-        For the decision line.
+    reason : str
+        Reason in the decision log.
     """
 
     engine: str
     target: dict | None
-    size: float
+    load_bytes: float
     interrupts: bool
-    why: str
+    reason: str
 
 
 def is_settled(state, target):
-    """Return whether an engine has what it should have.
+    """Return whether an engine has loaded its target.
 
     Parameters
     ----------
@@ -40,8 +40,8 @@
     return state.loaded == target and state.loading is None
 
 
-def steps(assigned, zone_placements, states, dead, *, loads, pending=()):
-    """Return the orders that may be given now.
+def steps(assigned, zone_placements, states, dead, *, load_slots, pending=()):
+    """Return the orders that may be sent now.
 
     Parameters
     ----------
@@ -49,11 +49,11 @@
     zone_placements : list of Placement
     states : dict of str to State
     dead : set of str
-    loads : int
-        Engines that may load at a time, those loading now included.
+    load_slots : int
+        Maximum of concurrent loads, those in progress included.
     pending : collection of str
-        Engines with an order under way that were not read back since;
-        their states tell of before the order.
+        Engines with an order in flight that were not read since; their
+        states are from before the order.
 
     Returns
     -------
@@ -61,15 +61,15 @@
 
     Notes
     -----
-    An order to an engine that serves takes it away from its model for
-    the time of the load.  It waits while the model would have fewer than
-    its floor of engines serving, of whatever version.  So a version that
-    does not load stops the change at its first engine, and the others go
-    on with the version before.
+    An engine does not serve its model while it loads.  An order to a
+    serving engine waits while it would leave fewer engines serving the
+    model, in any version, than the minimum.  A version that fails to
+    load thus stops the rollout at its first engine, and the other engines
+    keep serving the previous version.
     """
-    serving = _serving(states, {*dead, *pending})
-    floors = _floors(assigned, zone_placements, dead)
-    loads -= sum(
+    serving = _count_serving(states, {*dead, *pending})
+    minimums = _minimums(assigned, zone_placements, dead)
+    load_slots -= sum(
         name in pending or state.loading is not None
         for name, state in states.items()
     )
@@ -78,56 +78,56 @@
         state = states.get(name)
         if state is None or name in pending:
             continue
-        if _is_on_its_way(state, placement.target):
+        if _has_or_is_loading(state, placement.target):
             continue
-        size = _size(state, placement)
-        if size is not None and loads <= 0:
+        load_bytes = _load_bytes(state, placement)
+        if load_bytes is not None and load_slots <= 0:
             continue
-        if not _may_interrupt(state, serving, floors):
+        if not _try_interrupt(state, serving, minimums):
             continue
-        loads -= size is not None
-        interrupts = size is not None and _is_serving(state)
+        load_slots -= load_bytes is not None
+        interrupts = load_bytes is not None and _is_serving(state)
         result.append(
-            Step(name, placement.target, size or 0.0, interrupts, "note")
+            Step(name, placement.target, load_bytes or 0.0, interrupts, "note")
         )
     for name, state in sorted(states.items()):
         if name in dead or name in pending:
             continue
         if not _is_left_over(name, state, assigned):
             continue
-        if _may_unload(state, assigned, states):
+        if _can_unload(state, assigned, states):
             serves = _is_serving(state)
             result.append(Step(name, None, 0.0, serves, "left over"))
     return result
 
 
-def _serving(states, dead):
-    """Count engines that serve, by model."""
+def _count_serving(states, excluded):
+    """Count the serving engines of each model."""
     return collections.Counter(
         state.loaded["model"]
         for name, state in states.items()
-        if name not in dead and _is_serving(state)
+        if name not in excluded and _is_serving(state)
     )
 
 
-def _floors(assigned, zone_placements, dead):
-    """Return how many must go on serving, by model.
+def _minimums(assigned, zone_placements, dead):
+    """Return how many engines of each model must keep serving.
 
-    With an engine dead for long the floor could forbid every step; the
-    change would hang until a machine is repaired.  So it falls to one
-    less than what is alive.
+    With dead engines, the configured minimum could forbid every step and
+    block the rollout until a machine is repaired.  The minimum is
+    therefore at most one less than the engines alive.
     """
-    floors = collections.Counter()
+    minimums = collections.Counter()
     for placement in zone_placements:
-        floors[placement.target["model"]] += placement.floor
+        minimums[placement.target["model"]] += placement.min_serving
     alive = collections.Counter(
         placement.target["model"]
         for name, placement in assigned.items()
         if name not in dead
     )
     return {
-        model: min(floor, max(alive[model] - 1, 0))
-        for model, floor in floors.items()
+        model: min(minimum, max(alive[model] - 1, 0))
+        for model, minimum in minimums.items()
     }
 
 
@@ -135,48 +135,48 @@
     return state.serving and state.loaded is not None
 
 
-def _is_on_its_way(state, target):
+def _has_or_is_loading(state, target):
     if state.loading is not None:
         return state.loading == target
     return state.loaded == target
 
 
-def _size(state, placement):
-    """Return the bytes of a load, or None if no weights are loaded."""
-    held = state.loaded
+def _load_bytes(state, placement):
+    """Return the bytes of a load, or None if no weights are fetched."""
+    loaded = state.loaded
     target = placement.target
-    if held is not None and state.loading is None:
-        same = held["model"] == target["model"]
-        if same and held["version"] == target["version"]:
+    if loaded is not None and state.loading is None:
+        same_model = loaded["model"] == target["model"]
+        if same_model and loaded["version"] == target["version"]:
             return None
-    return placement.size
+    return placement.load_bytes
 
 
-def _may_interrupt(state, serving, floors):
-    """Return whether an engine may be taken away, and count it as gone."""
+def _try_interrupt(state, serving, minimums):
+    """Return whether an engine may stop serving; if so, deduct it."""
     if not _is_serving(state):
         return True
     model = state.loaded["model"]
-    if serving[model] - 1 < floors.get(model, 0):
+    if serving[model] - 1 < minimums.get(model, 0):
         return False
     serving[model] -= 1
     return True
 
 
 def _is_left_over(name, state, assigned):
-    """Return whether an engine has what nobody wants of it.
+    """Return whether an engine has loaded what no placement assigns to it.
 
-    An engine that never took an order is another's business.
+    An engine that never accepted an order is managed by others.
     """
     if name in assigned or not state.fence:
         return False
     return state.loaded is not None or state.loading is not None
 
 
-def _may_unload(state, assigned, states):
-    held = state.loading or state.loaded
+def _can_unload(state, assigned, states):
+    current = state.loading or state.loaded
     return all(
         is_settled(states[name], placement.target) if name in states else False
         for name, placement in assigned.items()
-        if placement.target["model"] == held["model"]
+        if placement.target["model"] == current["model"]
     )
--- a/sycamoreshed/orders/tests/test_assignment.py
+++ b/sycamoreshed/orders/tests/test_assignment.py
@@ -29,12 +29,16 @@
     }
 
 
-def _placement(name="p", replicas=2, floor=None, size=0.0, **target):
-    floor = replicas - 1 if floor is None else floor
-    return assignment.Placement(name, _target(**target), replicas, floor, size)
+def _placement(
+    name="p", replicas=2, min_serving=None, load_bytes=0.0, **target
+):
+    min_serving = replicas - 1 if min_serving is None else min_serving
+    return assignment.Placement(
+        name, _target(**target), replicas, min_serving, load_bytes
+    )
 
 
-def _has(target, **changes):
+def _state(target, **changes):
     return control.State(target, fence=1)._replace(**changes)
 
 
@@ -43,52 +47,53 @@
     return {name: item.name for name, item in sorted(result.items())}
 
 
-def test_holders_keep_what_they_have_when_engines_are_added():
-    states = {"e3": _has(_target()), "e4": _has(_target())}
+def test_engines_keep_their_placement_when_engines_are_added():
+    states = {"e3": _state(_target()), "e4": _state(_target())}
     engines = _engines("a1", "a2", "e3", "e4")
-    found = _assign(engines, [_placement()], states)
-    assert found == {"e3": "p", "e4": "p"}
+    assigned = _assign(engines, [_placement()], states)
+    assert assigned == {"e3": "p", "e4": "p"}
 
 
-def test_new_version_goes_where_the_old_one_is():
+def test_new_version_is_assigned_to_engines_of_the_old_one():
     states = {
-        "a": _has(_target(model="other")),
+        "a": _state(_target(model="other")),
         "b": control.State(None),
-        "c": _has(_target()),
-        "d": _has(_target()),
+        "c": _state(_target()),
+        "d": _state(_target()),
     }
     engines = _engines("a", "b", "c", "d")
-    found = _assign(engines, [_placement(version="2")], states)
-    assert found == {"c": "p", "d": "p"}
+    assigned = _assign(engines, [_placement(version="2")], states)
+    assert assigned == {"c": "p", "d": "p"}
 
 
-def test_dead_engine_is_replaced_and_gets_nothing():
-    states = {"a": _has(_target()), "b": _has(_target())}
+def test_dead_engine_is_replaced_and_assigned_nothing():
+    states = {"a": _state(_target()), "b": _state(_target())}
     engines = _engines("a", "b", "c")
-    found = _assign(engines, [_placement()], states, dead=["a"])
-    assert found == {"b": "p", "c": "p"}
+    assigned = _assign(engines, [_placement()], states, dead=["a"])
+    assert assigned == {"b": "p", "c": "p"}
 
 
 def test_replicas_are_spread_over_racks():
     names = [f"e{number}" for number in range(9)]
     racks = {name: f"r{index % 3}" for index, name in enumerate(names)}
     engines = _engines(*names, racks=racks)
-    found = _assign(engines, [_placement(replicas=6)])
-    used = [racks[name] for name in found]
+    assigned = _assign(engines, [_placement(replicas=6)])
+    used = [racks[name] for name in assigned]
     assert sorted(used) == ["r0", "r0", "r1", "r1", "r2", "r2"]
 
 
-def test_service_of_one_model_gets_no_other():
+def test_service_of_one_model_is_assigned_no_other():
     engines = {"a": _engine("a", model="x"), "b": _engine("b")}
     assert _assign(engines, [_placement(replicas=2)]) == {"b": "p"}
 
 
 @hypothesis.settings(derandomize=True, max_examples=200, deadline=None)
 @hypothesis.given(data=st.data())
-def test_settled_zone_stays_as_it_is(data):
-    """Whatever was there, what follows from an assignment is its end.
+def test_assignment_of_a_settled_zone_is_stable(data):
+    """An assignment that engines have loaded is assigned again, unchanged.
 
-    Otherwise engines would load again and again without any note.
+    Otherwise engines would load again and again with no change of the
+    configuration.
     """
     names = [f"e{number}" for number in range(8)]
     counts = data.draw(st.lists(st.integers(1, 3), min_size=1, max_size=4))
@@ -98,12 +103,12 @@
         )
         for index, count in enumerate(counts)
     ]
-    held = st.sampled_from([None, *(item.target for item in placements)])
-    states = {name: _has(data.draw(held)) for name in names}
+    targets = st.sampled_from([None, *(item.target for item in placements)])
+    states = {name: _state(data.draw(targets)) for name in names}
     engines = _engines(*names)
     first = assignment.assign(engines, placements, states, set())
     after = {
-        name: _has(first[name].target if name in first else None)
+        name: _state(first[name].target if name in first else None)
         for name in names
     }
     assert assignment.assign(engines, placements, after, set()) == first
@@ -114,28 +119,28 @@
         and states[name].loaded != first[name].target
         for name in names
     )
-    # An engine is moved only for want of others to take its place.
-    kept = sum(
+    # An engine is moved only if no other engine can take its place.
+    unmoved = sum(
         name in first and states[name].loaded == first[name].target
         for name in names
     )
-    best = sum(
+    max_unmoved = sum(
         min(
             item.replicas,
             sum(state.loaded == item.target for state in states.values()),
         )
         for item in placements
     )
-    assert kept == best
-    assert moved <= len(first) - kept
+    assert unmoved == max_unmoved
+    assert moved <= len(first) - unmoved
 
 
-V1 = _has(_target())
-V2 = _has(_target(version="2"))
+V1 = _state(_target())
+V2 = _state(_target(version="2"))
 LOADING = V1._replace(loading=_target(version="2"), serving=False)
 EMPTY = control.State(None, fence=1, serving=False)
-# Replicas and floor, the engines' states, dead ones, loads at a time,
-# and the engines that get an order.
+# Replicas and minimum serving, states of the engines, dead engines, load
+# slots, and the engines that receive an order.
 STEPS = {
     "one at a time": (3, 2, [V1, V1, V1], [], 4, ["0"]),
     "floor stated": (3, 1, [V1, V1, V1], [], 4, ["0", "1"]),
@@ -152,13 +157,13 @@
 
 
 @pytest.mark.parametrize(
-    ("replicas", "floor", "states", "dead", "loads", "expected"),
+    ("replicas", "min_serving", "states", "dead", "load_slots", "expected"),
     STEPS.values(),
     ids=STEPS,
 )
-def test_steps(replicas, floor, states, dead, loads, expected):
+def test_steps(replicas, min_serving, states, dead, load_slots, expected):
     placement = _placement(
-        replicas=replicas, floor=floor, version="2", size=5.0
+        replicas=replicas, min_serving=min_serving, version="2", load_bytes=5.0
     )
     names = [str(index) for index in range(len(states))]
     assigned = {name: placement for name in names}
@@ -167,17 +172,19 @@
         for name, state in zip(names, states, strict=True)
         if state is not None
     }
-    found = rollout.steps(assigned, [placement], known, set(dead), loads=loads)
-    assert [step.engine for step in found] == expected
-    assert all(step.size == 5.0 for step in found)
+    steps = rollout.steps(
+        assigned, [placement], known, set(dead), load_slots=load_slots
+    )
+    assert [step.engine for step in steps] == expected
+    assert all(step.load_bytes == 5.0 for step in steps)
 
 
-def test_adapters_alone_take_no_weights():
-    placement = _placement(replicas=1, adapters=["a"], size=5.0)
-    found = rollout.steps(
-        {"e": placement}, [placement], {"e": V1}, set(), loads=0
+def test_change_of_adapters_fetches_no_weights():
+    placement = _placement(replicas=1, adapters=["a"], load_bytes=5.0)
+    steps = rollout.steps(
+        {"e": placement}, [placement], {"e": V1}, set(), load_slots=0
     )
-    assert [(step.target, step.size) for step in found] == [
+    assert [(step.target, step.load_bytes) for step in steps] == [
         (placement.target, 0.0)
     ]
 
@@ -188,10 +195,10 @@
 
     def unloaded(state):
         states = {"e": state, "left": V1, "foreign": foreign}
-        found = rollout.steps(
-            {"e": placement}, [placement], states, set(), loads=0
+        steps = rollout.steps(
+            {"e": placement}, [placement], states, set(), load_slots=0
         )
-        return [step.engine for step in found if step.target is None]
+        return [step.engine for step in steps if step.target is None]
 
     assert unloaded(EMPTY) == []
     assert unloaded(V2) == ["left"]
--- a/sycamoreshed/orders/tests/test_dispatch.py
+++ b/sycamoreshed/orders/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Giving an order while the configuration changes."""
+"""Sending an order while the configuration changes."""
 
 import asyncio
 import types
@@ -14,44 +14,44 @@
 LOAD_OLD = rollout.Step(
     engine="language-1",
     target={"model": "m", "version": "old"},
-    size=1.0,
+    load_bytes=1.0,
     interrupts=True,
-    why="version",
+    reason="version",
 )
 
 
 class Lease:
-    """A lease that stays valid; its row names a configuration."""
+    """A lease that stays valid; its row holds a configuration version."""
 
     fence = 3
     config = 7
     terms = types.SimpleNamespace(max_order_s=10.0)
 
     def is_valid(self, _now):
-        """Return that it is held."""
+        """Return that the lease is valid."""
         return True
 
 
 class Engines:
-    """Takes orders that are still allowed when they leave."""
+    """Accepts orders that are still allowed when they are sent."""
 
     def __init__(self):
-        self.taken = []
+        self.accepted = []
 
     async def load(self, _endpoint, *, timeout):
-        """Tell that nothing is under way."""
+        """Report that no call is running."""
         return {"running": 0}
 
     async def order(self, _endpoint, order, *, timeout, allowed):
-        """Take an order."""
+        """Accept an order if it is still allowed."""
         if not allowed():
             return kinds.Failure(kinds.Kind.REFUSED, "not allowed any more")
-        self.taken.append(order)
+        self.accepted.append(order)
         return True
 
 
 async def send(*, config_after):
-    """Give an order; the lease's row names another version meanwhile."""
+    """Send an order while the version in the lease's row changes."""
     loop = asyncio.get_running_loop()
     lease, engines = Lease(), Engines()
     dispatcher = dispatch.Dispatcher(
@@ -64,24 +64,23 @@
     )
     engine = types.SimpleNamespace(name="language-1", endpoint=None)
     loop.call_later(
-        dispatch.SPREAD_S / 2, setattr, lease, "config", config_after
+        dispatch.REPORT_SPREAD_S / 2, setattr, lease, "config", config_after
     )
-    taken = await dispatcher.send(engine, LOAD_OLD, lease.fence)
-    return taken, engines.taken
+    accepted = await dispatcher.send(engine, LOAD_OLD, lease.fence)
+    return accepted, engines.accepted
 
 
-def test_an_order_of_a_replaced_configuration_is_not_given():
-    """Operators change their mind while an engine is being emptied.
+def test_order_of_a_replaced_configuration_is_not_sent():
+    """Operators change the configuration while an engine is drained.
 
-    The order was planned for the version before.  Sent all the same, and in
-    the name of the new version, it would load what operators had just
-    replaced: callers would be answered by it for as long as loading it and
-    then the right one takes.
+    The order was planned for the previous version.  Sent under the new
+    version, it would load the model that operators have just replaced, and
+    callers would be served by it until the right one has loaded as well.
     """
     assert virtualtime.run(send(config_after=8)) == (False, [])
 
 
-def test_an_order_names_the_configuration_that_it_was_planned_for():
-    taken, (order,) = virtualtime.run(send(config_after=7))
-    assert taken
+def test_order_names_the_configuration_it_was_planned_for():
+    accepted, (order,) = virtualtime.run(send(config_after=7))
+    assert accepted
     assert (order["fence"], order["config"]) == (3, 7)
--- a/sycamoreshed/orders/tests/test_leadership.py
+++ b/sycamoreshed/orders/tests/test_leadership.py
@@ -27,27 +27,28 @@
 
 
 @pytest.mark.parametrize(
-    ("valid", "row_config", "own_config", "may"),
+    ("valid", "row_config", "own_config", "expected"),
     [
         (True, 7, 7, True),
         (False, 7, 7, False),
-        # Knows less than the holder before: engines would go back.
+        # An older configuration than the previous holder: engines would
+        # return to a replaced version.
         (True, 7, 6, False),
-        # The row does not name the new version yet.
+        # The row does not hold the new version yet.
         (True, 6, 7, False),
     ],
 )
-def test_orders_leave_only_for_the_version_the_row_names(
-    valid, row_config, own_config, may
+def test_orders_are_sent_only_for_the_version_in_the_row(
+    valid, row_config, own_config, expected
 ):
-    part = _leadership(
+    zone_leadership = _leadership(
         valid=valid, row_config=row_config, own_config=own_config
     )
-    assert part.can_order(0.0) is may
+    assert zone_leadership.can_order(0.0) is expected
 
 
 class Gossip:
-    """Hands each record to all who listen."""
+    """Delivers each record to all listeners."""
 
     def __init__(self):
         self._listeners = []
@@ -59,30 +60,30 @@
 
     def put(self, topic, key, value):
         self.puts += 1
-        held = self.records.get(key)
-        self.records[key] = unavailable.merge(held, value)
-        if self.records[key] is not held:
+        stored = self.records.get(key)
+        self.records[key] = unavailable.merge(stored, value)
+        if self.records[key] is not stored:
             for func in self._listeners:
                 func(key, value, 0.0)
 
 
-def test_engine_is_away_until_it_is_told_back_or_forgotten():
+def test_engine_is_unavailable_until_withdrawn_or_expired():
     gossip = Gossip()
     times = iter(range(100))
-    made = [
+    instances = [
         unavailable.UnavailableEngines(
-            gossip=gossip, instance=name, wall=lambda: next(times)
+            gossip=gossip, instance=name, wall_clock=lambda: next(times)
         )
         for name in "ab"
     ]
-    holder, other = made
+    holder, other = instances
     assert other.names(0.0) == frozenset()
     holder.report("e", True, 0.0)
     holder.report("e", True, 1.0)
     assert gossip.puts == 1
     assert other.names(1.0) == {"e"}
-    assert other.names(unavailable.FORGET_S) == set()
-    # The holder is gone; its successor finds the engine serving.
+    assert other.names(unavailable.EXPIRY_S) == set()
+    # The holder has crashed; its successor reads that the engine serves.
     other.report("e", False, 2.0)
     other.report("e", False, 3.0)
     assert gossip.puts == 2
--- a/sycamoreshed/orders/tracking.py
+++ b/sycamoreshed/orders/tracking.py
@@ -1,66 +1,66 @@
-"""What the reconciler knows of each engine, and when to look again."""
+"""Last state of each engine, and the times of the next read and order."""
 
 from sycamoreshed.errors import kinds
 from sycamoreshed.orders import pacing
 from sycamoreshed.orders import rollout
 
-__all__ = ["DEAD_S", "EngineTracker"]
+__all__ = ["DEAD_AFTER_S", "EngineTracker"]
 
-# An engine silent for so long is replaced by another one.
-DEAD_S = 15.0
-SOON_S = 0.5
+# Time after which an unresponsive engine is replaced by another one.
+DEAD_AFTER_S = 15.0
+MIN_INTERVAL_S = 0.5
 
 
 class EngineTracker:
-    """One engine: its last state, and the times that follow from it.
+    """Tracks one engine: its last state, and when to read and order next.
 
     Parameters
     ----------
-    longest : float
-        Longest time after which a settled engine is read back.
+    max_interval_s : float
+        Maximum time between two reads of a settled engine.
 
     Notes
     -----
-    A settled engine is read back at intervals that double: 86 engines of
-    a zone read each second would take seven times what an instance may
-    spend on control.  A change of the configuration or of the holder
-    brings the interval back to the shortest.
+    The interval between reads of a settled engine doubles: reading the 86
+    engines of a zone each second would cost seven times what an instance
+    may spend on control.  A change of the configuration or of the holder
+    resets the interval to the minimum.
     """
 
-    def __init__(self, *, longest):
-        self._longest = longest
-        self._interval = SOON_S
-        self._silent_since = None
-        self._told_dead = False
+    def __init__(self, *, max_interval_s):
+        self._max_interval_s = max_interval_s
+        self._interval_s = MIN_INTERVAL_S
+        self._unresponsive_since = None
+        self._is_death_reported = False
         self._failures = 0
         self.state = None
         self.pending = False
-        self.look_at = 0.0
-        self.order_at = 0.0
+        self.next_read_at = 0.0
+        self.next_order_at = 0.0
 
     @property
-    def silent_since(self):
-        """Monotonic time of the first failure in a row, or None."""
-        return self._silent_since
+    def unresponsive_since(self):
+        """Time of the first failure since the last success, or None."""
+        return self._unresponsive_since
 
     def is_dead(self, now):
-        """Return whether the engine has been silent for long."""
-        since = self._silent_since
-        return since is not None and now - since >= DEAD_S
+        """Return whether the engine has been unresponsive for long."""
+        since = self._unresponsive_since
+        return since is not None and now - since >= DEAD_AFTER_S
 
-    def hurry(self):
-        """Look again at once."""
-        self._interval = SOON_S
-        self.look_at = 0.0
+    def read_soon(self):
+        """Schedule the next read for now, and reset the interval."""
+        self._interval_s = MIN_INTERVAL_S
+        self.next_read_at = 0.0
 
-    def take(self, state, target, now):
-        """Take in the outcome of a look.
+    def record_read(self, state, target, now):
+        """Record the outcome of a read.
 
         Parameters
         ----------
         state : State or Failure
         target : Target or None
-            What the engine should have.
+            Target assigned to the engine.
         now : float
             Monotonic seconds.
 
@@ -70,36 +70,39 @@
             Whether anything changed.
         """
         if isinstance(state, kinds.Failure):
-            return self._fall_silent(now)
-        came_back = self._silent_since is not None
-        changed = state != self.state or came_back or self.pending
+            return self._record_failure(now)
+        recovered = self._unresponsive_since is not None
+        changed = state != self.state or recovered or self.pending
         self.state = state
         self.pending = False
-        self._silent_since = None
+        self._unresponsive_since = None
         if changed or not rollout.is_settled(state, target):
-            self._interval = SOON_S
+            self._interval_s = MIN_INTERVAL_S
         else:
-            self._interval = min(2 * self._interval, self._longest)
-        self.look_at = now + self._interval
+            self._interval_s = min(2 * self._interval_s, self._max_interval_s)
+        self.next_read_at = now + self._interval_s
         return changed
 
-    def _fall_silent(self, now):
-        first = self._silent_since is None
-        if first:
-            self._silent_since = now
-            self._told_dead = False
-        self._interval = min(2 * self._interval, self._longest)
-        self.look_at = now + self._interval
-        fresh = self.is_dead(now) and not self._told_dead
-        self._told_dead = self._told_dead or fresh
-        return first or fresh
-
-    def ordered(self, now, *, ok):
-        """Take in whether an order was taken; an answer is not the end.
-
-        The order is repeated until the engine, read back, has it.
+    def _record_failure(self, now):
+        is_first = self._unresponsive_since is None
+        if is_first:
+            self._unresponsive_since = now
+            self._is_death_reported = False
+        self._interval_s = min(2 * self._interval_s, self._max_interval_s)
+        self.next_read_at = now + self._interval_s
+        is_newly_dead = self.is_dead(now) and not self._is_death_reported
+        self._is_death_reported = self._is_death_reported or is_newly_dead
+        return is_first or is_newly_dead
+
+    def record_order(self, now, *, accepted):
+        """Record whether an order was accepted.
+
+        Acceptance is not completion: the order is repeated until a read
+        shows that the engine has its target.
         """
-        self._failures = 0 if ok else self._failures + 1
-        wait = SOON_S if ok else pacing.backoff(self._failures)
-        self.order_at = now + wait
-        self.hurry()
+        self._failures = 0 if accepted else self._failures + 1
+        delay_s = (
+            MIN_INTERVAL_S if accepted else pacing.backoff_s(self._failures)
+        )
+        self.next_order_at = now + delay_s
+        self.read_soon()
--- a/sycamoreshed/orders/unavailable.py
+++ b/sycamoreshed/orders/unavailable.py
@@ -1,8 +1,9 @@
-"""Tells all instances which engines do not serve, or soon will not.
+"""Reports to all instances the engines that are unavailable while loading.
 
 An engine that loads, or has nothing loaded, refuses calls.  Load reports
-lag and refusals cost each caller a retry, so the holder of the lease tells
-before it orders, and an engine gets nothing new once the word has spread.
+lag, and each refusal costs a caller a retry.  The holder of the lease
+therefore reports an engine as unavailable before it sends an order, and
+the engine receives no new calls once the report has spread.
 """
 
 import time
@@ -11,60 +12,76 @@
 
 __all__ = ["UnavailableEngines"]
 
-LOADING = "engine-loading"
-# A holder that died cannot take its word back; it repeats it this often,
-# and others forget what is not repeated.
-REPEAT_S = 5.0
-FORGET_S = 60.0
+TOPIC = "engine-loading"
+# A holder that has crashed cannot withdraw its reports.  They are therefore
+# repeated at this interval, and expire if they are not repeated.
+REPEAT_INTERVAL_S = 5.0
+EXPIRY_S = 60.0
 
 
-@topics.topic(LOADING, urgent=True)
-def merge(held, came):
-    """Keep the newest word: wall clock (ms), teller, 1 if away."""
-    return topics.newest(held, came)
+@topics.topic(TOPIC, urgent=True)
+def merge(stored, received):
+    """Keep the newest report: wall clock (ms), sender, 1 if unavailable."""
+    return topics.newest(stored, received)
 
 
 class UnavailableEngines:
-    """Engines that get no new calls because they do not serve.
+    """Engines that receive no new calls because they do not serve.
 
     Parameters
     ----------
     gossip : Gossip
     instance : str
-    wall : callable, optional
-        Returns the wall clock in seconds; orders the words.
+    wall_clock : callable, optional
+        Returns the wall clock in seconds; orders the reports.
     """
 
-    def __init__(self, *, gossip, instance, wall=time.time):
+    def __init__(self, *, gossip, instance, wall_clock=time.time):
         self._gossip = gossip
         self._instance = instance
-        self._wall = wall
-        self._until = {}
-        self._told = {}
-        gossip.on_record(LOADING, self._hear, own=True)
+        self._wall_clock = wall_clock
+        self._expires_at = {}
+        self._reported_at = {}
+        gossip.on_record(TOPIC, self._receive, own=True)
 
     def names(self, now):
-        """Return the names of engines that are away, as of `now`."""
-        if not self._until:
+        """Return the names of the engines unavailable at `now`."""
+        if not self._expires_at:
             return frozenset()
-        return {name for name, until in self._until.items() if now < until}
+        return {
+            name
+            for name, expires_at in self._expires_at.items()
+            if now < expires_at
+        }
 
-    def report(self, name, away, now):
-        """Tell whether an engine is away, if that is news by now."""
-        told = self._told.get(name)
-        if away and told is not None and now - told < REPEAT_S:
+    def report(self, name, unavailable, now):
+        """Report whether an engine is unavailable, if a report is due."""
+        reported_at = self._reported_at.get(name)
+        if (
+            unavailable
+            and reported_at is not None
+            and now - reported_at < REPEAT_INTERVAL_S
+        ):
             return
-        if not away and told is None and name not in self._until:
+        if (
+            not unavailable
+            and reported_at is None
+            and name not in self._expires_at
+        ):
             return
-        if away:
-            self._told[name] = now
+        if unavailable:
+            self._reported_at[name] = now
         else:
-            self._told.pop(name, None)
-        value = [int(self._wall() * 1000), self._instance, int(away)]
-        self._gossip.put(LOADING, name, value)
+            self._reported_at.pop(name, None)
+        value = [
+            int(self._wall_clock() * 1000),
+            self._instance,
+            int(unavailable),
+        ]
+        self._gossip.put(TOPIC, name, value)
 
-    def _hear(self, name, value, now):
+    def _receive(self, name, value, now):
         if value[2]:
-            self._until[name] = now + FORGET_S
+            self._expires_at[name] = now + EXPIRY_S
         else:
-            self._until.pop(name, None)
+            self._expires_at.pop(name, None)
