--- a/sycamoreshed/orders/assignment.py
+++ b/sycamoreshed/orders/assignment.py
@@ -1,8 +1,9 @@
 """Assignment of the engines of a zone to placements.
 
 An assignment follows from the configuration and from the models that the
-engines have loaded.  An engine that has loaded the target of a placement
-keeps it, so that a new engine or placement moves no other engine.
+engines have loaded.  An engine that has loaded or is loading the model,
+version and role of a placement is preferred for it, so that a new engine
+or placement moves no other engine.
 """
 
 import enum
@@ -59,7 +60,7 @@
 
 
 class _Fit(enum.IntEnum):
-    """Extent of the change that an engine needs; the least is preferred."""
+    """Rank of an engine by how little has to change; less is better."""
 
     MATCHES = 0
     OTHER_VERSION = 1
--- a/sycamoreshed/orders/dispatch.py
+++ b/sycamoreshed/orders/dispatch.py
@@ -14,7 +14,7 @@
 # Maximum wait for the running calls of an engine before a load.
 MAX_DRAIN_S = 6.0
 DRAIN_POLL_S = 0.25
-LOAD_TIMEOUT_S = 1.0
+LOAD_REPORT_TIMEOUT_S = 1.0
 
 
 class Dispatcher:
@@ -68,7 +68,7 @@
         Draining an engine takes seconds, during which operators may change
         the configuration.  The order is sent for the version it was
         planned for, or not at all.  Under the newer version, the engine
-        would load what was replaced and report it as the current target.
+        would load the replaced target and report it with that version.
         """
         config = self._lease.config
         if step.interrupts:
@@ -89,6 +89,7 @@
             timeout=max_order_s / 2,
             allowed=lambda: self._is_allowed(fence, config),
         )
+        # An order without a response may take effect for the whole maximum.
         self._record_outcome(result, self._clock() + max_order_s)
         return result is True
 
@@ -102,10 +103,10 @@
         self._unavailable.report(engine.name, True, started_at)
         await asyncio.sleep(REPORT_SPREAD_S)
         while self._clock() < started_at + MAX_DRAIN_S:
-            load = await self._client.load(
-                engine.endpoint, timeout=LOAD_TIMEOUT_S
+            report = await self._client.load(
+                engine.endpoint, timeout=LOAD_REPORT_TIMEOUT_S
             )
-            if isinstance(load, kinds.Failure) or not load.get("running"):
+            if isinstance(report, kinds.Failure) or not report.get("running"):
                 return
             await asyncio.sleep(DRAIN_POLL_S)
 
--- a/sycamoreshed/orders/leadership.py
+++ b/sycamoreshed/orders/leadership.py
@@ -9,7 +9,7 @@
 
 __all__ = ["Leadership"]
 
-# Three renewals in a row may fail before the lease is no longer used.
+# The lease is no longer used after three failed renewals in a row.
 RENEWALS_PER_LEASE = 4
 
 
@@ -57,8 +57,8 @@
         -----
         A new holder may have an older configuration than its predecessor.
         Orders for that version would return engines to what operators had
-        already replaced.  The row therefore holds the version that orders
-        were sent for.
+        already replaced.  The row therefore holds the highest version that
+        orders may have been sent for.
         """
         version = self._notes.config.version
         return self._lease.is_valid(now) and version == self._lease.config
@@ -86,7 +86,7 @@
         self._wake.set()
 
     async def release(self):
-        """Release the lease if it is valid, after all orders have ended."""
+        """Release the lease if it is valid; all orders must have ended."""
         if self._lease.is_valid(self._clock()):
             await self._lease.release()
 
--- a/sycamoreshed/orders/leaseclient.py
+++ b/sycamoreshed/orders/leaseclient.py
@@ -9,10 +9,11 @@
 
 __all__ = ["Lease"]
 
-# The response to a conflict carries the row, which may be an earlier own
-# write; a second attempt on that row is decisive.
+# A conflict may be with an own earlier write whose response was lost; the
+# write is retried once, on the row that the conflict returned.
 MAX_ATTEMPTS = 2
-READ_DELAY_S = 0.01
+# Added to the wait, which must be exceeded before the lease is acquired.
+READ_AFTER_WAIT_S = 0.01
 
 
 class Lease:
@@ -51,13 +52,13 @@
 
     @property
     def fence(self):
-        """Fencing number of the lease last held, or None."""
+        """Fencing number of the recorded lease, even if expired, or None."""
         lease = self._state.lease
         return lease.fence if lease else None
 
     @property
     def config(self):
-        """Configuration version in the row, or zero."""
+        """Configuration version of the recorded lease, or zero."""
         lease = self._state.lease
         return lease.config if lease else 0
 
@@ -71,17 +72,18 @@
         self._state = self._state._replace(max_fence=max_fence)
 
     def remaining_wait_s(self):
-        """Return seconds until the lease may be acquired, or None.
+        """Return the seconds until a read can acquire the lease.
 
-        None means that the candidate is not waiting.  A read just after
-        the wait acquires the lease earlier than the next regular read.
+        The wait is by the own terms and for an unchanged row; None if
+        there is no wait or it is over.  A read just after the wait
+        acquires the lease earlier than the next regular read.
         """
         seen = self._state.seen
         if seen is None:
             return None
         wait_s = self._terms.duration_s + self._terms.max_order_s
         remaining_s = seen.seen_at + wait_s - self._clock()
-        return remaining_s + READ_DELAY_S if remaining_s > 0 else None
+        return remaining_s + READ_AFTER_WAIT_S if remaining_s > 0 else None
 
     async def renew(self, *, config=0):
         """Acquire or renew the lease; return whether it is valid.
@@ -105,7 +107,7 @@
         return self.is_valid(self._clock())
 
     async def release(self):
-        """Release the lease, after all own orders have ended.
+        """Release the lease; all own orders must have ended.
 
         Returns
         -------
--- a/sycamoreshed/orders/leases.py
+++ b/sycamoreshed/orders/leases.py
@@ -58,12 +58,12 @@
 
     Notes
     -----
-    A candidate recognizes its own row by the id of the write.  The
-    version does not suffice: if the response to a renewal was lost, the
-    holder has never seen the new version and would wait for its own
-    lease to expire.  Nor does the holder's name: an instance restarted
-    under the same name would treat the lease of its predecessor as its
-    own and skip the wait.
+    An own write without a response is recognized by its id.  The version
+    does not suffice: if the response to a renewal was lost, the holder
+    has never seen the new version and would wait for its own lease to
+    expire.  The holder's name does not suffice either: an instance
+    restarted under the same name would treat the lease of its predecessor
+    as its own and skip the wait.
     """
     value = row.value or {}
     own = _find(state.unanswered, value.get("attempt"))
@@ -177,8 +177,9 @@
     else:
         fence = state.max_fence + 1
         config = max(config, value.get("config", 0))
-    # An engine has received a higher fencing number: the store lost the row,
-    # and the numbers restarted.  Engines would refuse all orders for good.
+    # An engine has received a higher fencing number, as after the store lost
+    # the row and the numbers restarted.  It would refuse all orders with
+    # lower numbers for good.
     if fence < state.max_fence:
         fence = state.max_fence + 1
     pending = records.UnansweredWrite(attempt, now, fence, config)
--- a/sycamoreshed/orders/pacing.py
+++ b/sycamoreshed/orders/pacing.py
@@ -8,8 +8,9 @@
 
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 10.0
-# Instances of a zone that read the lease at the short interval; the others
-# read rarely, in case all of these have stopped.
+# Number of instances of a zone, perhaps including the holder, that read the
+# lease at the short interval; the others read rarely, in case all of these
+# stop.
 HOT_STANDBYS = 3
 COLD_INTERVAL_FACTOR = 30
 JITTER = 0.25
@@ -45,7 +46,7 @@
         self._free_at = now + size_bytes / self._rate
         return True
 
-    def record_start(self, size_bytes, *, now):
+    def record_running(self, size_bytes, *, now):
         """Count a load that the previous holder has started."""
         if self._rate:
             start = max(now, self._free_at)
@@ -97,9 +98,9 @@
 
     Notes
     -----
-    Only hot standbys read as soon as the wait for the lease ends.  Each
-    renewal changes the row and restarts the wait, so otherwise all
-    instances would read once per wait, however long their interval.
+    Only hot standbys read as soon as their wait for the lease ends.  Each
+    renewal changes the row, so there is always a wait, and the others
+    would read at its end instead of at their longer interval.
     """
     delay_s = interval_s if hot else COLD_INTERVAL_FACTOR * interval_s
     delay_s *= random.uniform(1 - JITTER, 1 + JITTER)
--- a/sycamoreshed/orders/reconciler.py
+++ b/sycamoreshed/orders/reconciler.py
@@ -2,7 +2,8 @@
 
 The holder of the lease reads the state of the engines, selects the orders
 that may be sent now, sends them and reads again, until all engines have
-their targets.  Each read or order of an engine is a task of its own.
+their targets; it then reads them more rarely.  Each read or order of an
+engine is a task of its own.
 """
 
 import asyncio
@@ -137,7 +138,7 @@
         if self._epoch != epoch:
             self._start_epoch(epoch)
         if self._is_plan_stale and self._has_read_all():
-            self._plan(now)
+            self._plan_and_start(now)
         for name, tracker in self._trackers.items():
             if tracker.next_read_at <= now:
                 self._start(name, self._read(self._engines[name], epoch))
@@ -163,7 +164,7 @@
         self._is_plan_stale = True
 
     def _has_read_all(self):
-        """Return whether each engine has been read at least once.
+        """Return whether each engine has responded or failed at least once.
 
         Orders planned from some of the engines would move placements that
         engines not yet read have loaded.
@@ -173,7 +174,7 @@
             for tracker in self._trackers.values()
         )
 
-    def _plan(self, now):
+    def _plan_and_start(self, now):
         responded = {
             name: tracker
             for name, tracker in self._trackers.items()
@@ -190,7 +191,7 @@
         )
         if self._is_new_holder:
             self._is_new_holder = False
-            self._count_started_loads(responded, now)
+            self._count_running_loads(responded, now)
         responsive = {
             name: tracker.state
             for name, tracker in responded.items()
@@ -203,23 +204,26 @@
             dead,
             load_slots=self._load_slots,
             pending={
-                name for name, tracker in responded.items() if tracker.pending
+                name
+                for name, tracker in responded.items()
+                if tracker.has_unread_order
             },
         )
-        # Steps that have to wait are planned again.
+        # Some steps may have to wait; they are planned again.
         self._is_plan_stale = bool(steps)
         for step in steps:
             self._try_step(step, now)
 
-    def _count_started_loads(self, responded, now):
+    def _count_running_loads(self, responded, now):
         """Count loads started by the previous holder against the rate."""
         for name, tracker in responded.items():
             placement = self._assigned.get(name)
             if placement is not None and tracker.state.loading is not None:
-                self._pacer.record_start(placement.load_bytes, now=now)
+                self._pacer.record_running(placement.load_bytes, now=now)
 
     def _try_step(self, step, now):
         tracker = self._trackers[step.engine]
+        # An engine with a higher version accepted a newer configuration.
         if (
             tracker.next_order_at > now
             or tracker.state.config > self._lease.config
@@ -229,7 +233,7 @@
             return
         if not self._pacer.try_start(step.load_bytes, now=now):
             return
-        tracker.pending = True
+        tracker.has_unread_order = True
         engine = self._engines[step.engine]
         self._start(step.engine, self._send_order(engine, tracker, step))
 
@@ -255,7 +259,7 @@
         now = self._clock()
         if isinstance(state, control.State):
             self._lease.record_fence(state.fence)
-            # Repeats that it does not serve, or reports that it serves again.
+            # Reports or repeats that it does not serve, or serves again.
             self._unavailable.report(engine.name, not state.serving, now)
         if tracker.record_read(state, self._target(engine.name), now):
             self._is_plan_stale = True
--- a/sycamoreshed/orders/records.py
+++ b/sycamoreshed/orders/records.py
@@ -35,9 +35,9 @@
     """Value of a lease's row.
 
     ``attempt`` is unique for each write ever sent; ``config`` is the
-    highest configuration version that orders were sent for; ``seconds``
-    and ``longest`` are ``duration_s`` and ``max_order_s`` of the holder's
-    terms.
+    highest configuration version that orders may have been sent for;
+    ``seconds`` and ``longest`` are ``duration_s`` and ``max_order_s`` of
+    the holder's terms.
     """
 
     holder: str
@@ -50,7 +50,7 @@
 
 
 class HeldLease(typing.NamedTuple):
-    """A lease, as recorded by its holder.
+    """A lease, as recorded by its holder; it may have expired.
 
     Parameters
     ----------
--- a/sycamoreshed/orders/rollout.py
+++ b/sycamoreshed/orders/rollout.py
@@ -17,7 +17,8 @@
     load_bytes : float
         Bytes that the engine fetches from the weight store.
     interrupts : bool
-        Whether the engine serves now and will not during the load.
+        Whether the engine serves now and the order makes it load or
+        unload weights; it is drained first.
     reason : str
         Reason in the decision log.
     """
@@ -52,8 +53,8 @@
     load_slots : int
         Maximum of concurrent loads, those in progress included.
     pending : collection of str
-        Engines with an order in flight that were not read since; their
-        states are from before the order.
+        Engines not read since their last order was started; their states
+        are from before the order.
 
     Returns
     -------
@@ -65,7 +66,8 @@
     serving engine waits while it would leave fewer engines serving the
     model, in any version, than the minimum.  A version that fails to
     load thus stops the rollout at its first engine, and the other engines
-    keep serving the previous version.
+    keep serving the previous version.  An engine without a placement is
+    unloaded once all engines assigned to its model are settled.
     """
     serving = _count_serving(states, {*dead, *pending})
     minimums = _minimums(assigned, zone_placements, dead)
@@ -153,7 +155,7 @@
 
 
 def _try_interrupt(state, serving, minimums):
-    """Return whether an engine may stop serving; if so, deduct it."""
+    """Return whether an engine may be ordered; deduct it if it serves."""
     if not _is_serving(state):
         return True
     model = state.loaded["model"]
@@ -164,7 +166,7 @@
 
 
 def _is_left_over(name, state, assigned):
-    """Return whether an engine has loaded what no placement assigns to it.
+    """Return whether an engine without a placement has a model.
 
     An engine that never accepted an order is managed by others.
     """
--- a/sycamoreshed/orders/tests/test_tracking.py
+++ b/sycamoreshed/orders/tests/test_tracking.py
@@ -67,7 +67,7 @@
 
 def test_loads_of_the_previous_holder_count():
     pacer = pacing.LoadPacer(rate=10.0)
-    pacer.record_start(50.0, now=0.0)
+    pacer.record_running(50.0, now=0.0)
     assert not pacer.try_start(1.0, now=4.0)
     assert pacer.try_start(0.0, now=4.0)
     assert pacer.try_start(1.0, now=5.0)
--- a/sycamoreshed/orders/tracking.py
+++ b/sycamoreshed/orders/tracking.py
@@ -17,14 +17,14 @@
     Parameters
     ----------
     max_interval_s : float
-        Maximum time between two reads of a settled engine.
+        Maximum time between two reads of a settled or unresponsive engine.
 
     Notes
     -----
-    The interval between reads of a settled engine doubles: reading the 86
-    engines of a zone each second would cost seven times what an instance
-    may spend on control.  A change of the configuration or of the holder
-    resets the interval to the minimum.
+    The interval between reads of a settled or unresponsive engine doubles:
+    reading the 86 engines of a zone each second would cost seven times
+    what an instance may spend on control.  A change of the configuration
+    or of the holder resets the interval to the minimum.
     """
 
     def __init__(self, *, max_interval_s):
@@ -34,7 +34,7 @@
         self._is_death_reported = False
         self._failures = 0
         self.state = None
-        self.pending = False
+        self.has_unread_order = False
         self.next_read_at = 0.0
         self.next_order_at = 0.0
 
@@ -72,9 +72,9 @@
         if isinstance(state, kinds.Failure):
             return self._record_failure(now)
         recovered = self._unresponsive_since is not None
-        changed = state != self.state or recovered or self.pending
+        changed = state != self.state or recovered or self.has_unread_order
         self.state = state
-        self.pending = False
+        self.has_unread_order = False
         self._unresponsive_since = None
         if changed or not rollout.is_settled(state, target):
             self._interval_s = MIN_INTERVAL_S
@@ -97,8 +97,8 @@
     def record_order(self, now, *, accepted):
         """Record whether an order was accepted.
 
-        Acceptance is not completion: the order is repeated until a read
-        shows that the engine has its target.
+        Acceptance is not completion: the order is repeated if a read shows
+        that the engine neither has nor is loading its target.
         """
         self._failures = 0 if accepted else self._failures + 1
         delay_s = (
--- a/sycamoreshed/orders/unavailable.py
+++ b/sycamoreshed/orders/unavailable.py
@@ -2,8 +2,9 @@
 
 An engine that loads, or has nothing loaded, refuses calls.  Load reports
 lag, and each refusal costs a caller a retry.  The holder of the lease
-therefore reports an engine as unavailable before it sends an order, and
-the engine receives no new calls once the report has spread.
+therefore reports an engine as unavailable before an order interrupts it,
+and whenever a read shows that it does not serve.  The engine receives no
+new calls once the report has spread.
 """
 
 import time
@@ -13,8 +14,9 @@
 __all__ = ["UnavailableEngines"]
 
 TOPIC = "engine-loading"
-# A holder that has crashed cannot withdraw its reports.  They are therefore
-# repeated at this interval, and expire if they are not repeated.
+# A holder that has crashed cannot withdraw its reports.  They therefore
+# expire unless they are repeated, on reads of the engine and at most once
+# per this interval.
 REPEAT_INTERVAL_S = 5.0
 EXPIRY_S = 60.0
 
@@ -33,7 +35,7 @@
     gossip : Gossip
     instance : str
     wall_clock : callable, optional
-        Returns the wall clock in seconds; orders the reports.
+        Returns the wall clock in seconds; decides which report is newest.
     """
 
     def __init__(self, *, gossip, instance, wall_clock=time.time):
