--- a/sycamoreshed/membership/__init__.py
+++ b/sycamoreshed/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances and endpoints are alive."""
+"""Live entry instances and usable endpoints."""
--- a/sycamoreshed/membership/gossip.py
+++ b/sycamoreshed/membership/gossip.py
@@ -1,9 +1,9 @@
-"""Entry instances tell each other what changed.
+"""Gossip protocol between entry instances.
 
-Each instance exchanges a small message with a few peers every
-`PERIOD_S`, and at once when something urgent changed.  A message carries
-the records that changed since the receiver's last acknowledgement, and
-fields that other plug-ins hang on.
+Each instance exchanges a small message with a few peers every `PERIOD_S`,
+and immediately when an urgent record changed.  A message carries the
+records that changed since the receiver's last acknowledgement, and fields
+that other plug-ins add.
 """
 
 import asyncio
@@ -17,41 +17,43 @@
 
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import kernel
-from sycamoreshed.membership import links
 from sycamoreshed.membership import members
 from sycamoreshed.membership import messages
+from sycamoreshed.membership import positions
 from sycamoreshed.membership import topics
 from sycamoreshed.membership import view
 
 __all__ = ["Field", "Gossip"]
 
 PERIOD_S = 2.0
-# Between zones traffic is paid for; news goes at once all the same.
-FAR_PERIOD_S = 4.0
-# Changes within this time travel in one message.
-GATHER_S = 0.03
+# Cross-zone traffic is billed, so its period is longer; urgent changes are
+# still sent immediately.
+CROSS_ZONE_PERIOD_S = 4.0
+# Changes within this time are sent in one message.
+BATCH_DELAY_S = 0.03
 TIMEOUT_S = 1.0
-# An instance that did not answer is left out of the choice for a while.
+# An instance that does not answer is not chosen as a partner for this long.
 AVOID_S = 5.0
-FAILURES = 2
-RETRY_S = 0.5
-SEEK_S = 3.0
-# While nobody is known: doubles up to the above.  An instance that started
-# before its seeds is told nothing until one of them answers, and would be
-# ready without having heard of what is in force.
-FIRST_SEEK_S = 0.1
+# Consecutive failed exchanges after which a peer is avoided and suspected.
+FAILURES_UNTIL_SUSPECT = 2
+RETRY_DELAY_S = 0.5
+RECONNECT_PERIOD_S = 3.0
+# Used while there are no partners; doubles up to the period above.  An
+# instance that starts before its seeds receives nothing until one of them
+# answers, and would become ready without the configuration in force.
+MIN_RECONNECT_PERIOD_S = 0.1
 
 
 class Field:
-    """What a plug-in hangs on each message.
+    """A field that a plug-in adds to each message.
 
     Parameters
     ----------
     write : callable
-        Takes the peer's name and zone (None if not known yet) and the
-        time; returns JSON, or None for nothing.
+        Takes the peer's name (empty if not known yet) and the time;
+        returns JSON, or None to omit the field.
     read : callable
-        Takes what the peer wrote, the peer's name and the time.
+        Takes the value received, the peer's name and the time.
     """
 
     def __init__(self, *, write, read):
@@ -60,7 +62,7 @@
 
 
 class Gossip:
-    """The exchange with peers.
+    """Exchanges messages with peers and merges the records they send.
 
     Parameters
     ----------
@@ -69,7 +71,8 @@
     metrics : Metrics
     clock : callable
     boot : int
-        Milliseconds of the wall clock at the start.
+        Wall clock at the start of this process, in milliseconds;
+        identifies the process.
     """
 
     def __init__(self, *, settings, session, metrics, clock, boot):
@@ -81,22 +84,24 @@
         self._view = view.View(settings=settings, generation=boot)
         self._fields = {}
         self._listed = set()
-        self._links = links.Links(boot=boot)
+        self._positions = positions.PeerPositions(boot=boot)
         self._seeds = set(settings.peers) - {settings.advertise}
-        self._avoid = {}
-        self._failed = {}
+        self._avoid_until = {}
+        self._failures = {}
         self._tasks = {}
-        self._wakes = {}
-        self.add_field("beat", write=self._write_beats, read=self._read_beats)
+        self._wake_events = {}
+        self.add_field(
+            "beat", write=self._write_heartbeats, read=self._read_heartbeats
+        )
 
     @property
     def has_seeds(self):
-        """Whether any other instance is known, by address at least."""
+        """Whether an address of another instance is configured or listed."""
         return bool(self._seeds or self._listed)
 
     @property
     def view(self):
-        """The `View`: who is alive, and all records."""
+        """The `View` of live instances and all records."""
         return self._view
 
     def address_of(self, name):
@@ -105,11 +110,11 @@
         return None if member is None else member.address
 
     def add_field(self, name, *, write, read):
-        """Hang a field on all messages; see `Field`."""
+        """Add a field to all messages; see `Field`."""
         self._fields[name] = Field(write=write, read=read)
 
     def put(self, topic, key, value):
-        """Merge a record and spread it; return whether it was new."""
+        """Merge a record to be gossiped; return whether it changed."""
         changed = self._view.put(topic, key, value, self._clock())
         if changed and topics.TOPICS.get(topic).urgent:
             self.wake()
@@ -120,75 +125,85 @@
         return self._view.get(topic, key)
 
     def entries(self, topic):
-        """Return a topic's values by key; not to be changed."""
+        """Return a topic's values by key; callers must not modify it."""
         return self._view.entries(topic)
 
     def on_record(self, topic, func, *, own=False):
-        """Call a function at each change; see `View.on_record`."""
+        """Register a callback for changes; see `View.on_record`."""
         self._view.on_record(topic, func, own=own)
 
     def wake(self):
-        """Exchange messages at once: there is news."""
-        for event in self._wakes.values():
+        """Start an exchange with each partner immediately."""
+        for event in self._wake_events.values():
             event.set()
 
     def set_listed(self, addresses):
-        """Learn control addresses from the platform's list, as of now."""
+        """Replace the control addresses taken from the platform's list."""
         self._listed = set(addresses) - {self._settings.advertise}
 
     def leave(self):
-        """Tell that this instance is leaving; it stays so."""
+        """Announce that this instance is leaving; this is final."""
         self._view.leave()
         self.wake()
 
-    async def receive(self, http):
-        """Answer a peer's message with our own."""
-        raw = await http.read()
+    async def receive(self, request):
+        """Handle a peer's message and answer with the own one."""
+        raw = await request.read()
         try:
             message = messages.decode(raw)
         except msgspec.MsgspecError as err:
             raise web.HTTPBadRequest(text=str(err)) from None
-        self._take(message, self._clock())
-        answer = messages.encode(
+        self._process(message, self._clock())
+        reply = messages.encode(
             self._message(message["name"], message["zone"])
         )
-        size = len(raw) + len(answer)
-        self._bytes.inc(size + messages.REQUEST_BYTES + messages.ANSWER_BYTES)
-        return web.Response(body=answer)
+        size = len(raw) + len(reply)
+        self._bytes.inc(
+            size
+            + messages.REQUEST_HEADER_BYTES
+            + messages.RESPONSE_HEADER_BYTES
+        )
+        return web.Response(body=reply)
 
     async def run(self):
-        """Keep a task for each partner; seek those out of reach."""
-        seek_at = self._clock()
-        pause = FIRST_SEEK_S
+        """Keep one task per partner; retry unreachable instances."""
+        reconnect_at = self._clock()
+        discovery_period_s = MIN_RECONNECT_PERIOD_S
         while True:
             now = self._clock()
-            self._view.beat()
-            for name in self._view.forget(now):
-                self._links.forget(name)
-            self._keep_tasks(now)
-            if now >= seek_at:
-                await self._seek(now)
-                # Who answered is a partner from now on.
-                self._keep_tasks(self._clock())
-                wait = SEEK_S if self._tasks else pause
-                seek_at = self._clock() + wait * random.uniform(0.9, 1.1)
-                pause = min(SEEK_S, 2 * pause)
-            wait = PERIOD_S / 2 * random.uniform(0.9, 1.1)
-            left = max(0.0, seek_at - self._clock())
-            await asyncio.sleep(min(wait, left))
+            self._view.increment_heartbeat()
+            for name in self._view.expire(now):
+                self._positions.forget(name)
+            self._update_tasks(now)
+            if now >= reconnect_at:
+                await self._reconnect(now)
+                # An instance that answered can be a partner from now on.
+                self._update_tasks(self._clock())
+                wait_s = (
+                    RECONNECT_PERIOD_S if self._tasks else discovery_period_s
+                )
+                reconnect_at = self._clock() + wait_s * random.uniform(
+                    0.9, 1.1
+                )
+                discovery_period_s = min(
+                    RECONNECT_PERIOD_S, 2 * discovery_period_s
+                )
+            wait_s = PERIOD_S / 2 * random.uniform(0.9, 1.1)
+            remaining_s = max(0.0, reconnect_at - self._clock())
+            await asyncio.sleep(min(wait_s, remaining_s))
 
     async def stop(self):
-        """End the tasks of all partners."""
+        """Cancel the tasks of all partners."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
 
     def _message(self, name, zone):
-        link = self._links.get(name)
+        position = self._positions.get(name)
         delta = self._view.since(
-            link.acked,
+            position.acked,
             same_zone=zone in (None, self._settings.zone),
-            to=(name, link.boot),
+            to=(name, position.boot),
         )
         now = self._clock()
         message = messages.Message(
@@ -197,8 +212,8 @@
             zone=self._settings.zone,
             base=delta.base,
             last=delta.last,
-            ack=link.got,
-            of=link.boot,
+            ack=position.received,
+            of=position.boot,
         )
         if delta.records:
             message["records"] = delta.records
@@ -210,60 +225,64 @@
         }
         return message
 
-    def _take(self, message, now):
+    def _process(self, message, now):
         name = message["name"]
-        via = self._links.take(message)
-        news = [
-            self._view.receive(topic, key, value, via, now)
+        sender = self._positions.update(message)
+        is_urgent = [
+            self._view.receive(topic, key, value, sender, now)
             for topic, key, value in message.get("records", ())
         ]
-        if any(news):
+        if any(is_urgent):
             self.wake()
-        self._avoid.pop(name, None)
-        self._failed.pop(name, None)
+        self._avoid_until.pop(name, None)
+        self._failures.pop(name, None)
         for key, value in message.get("fields", {}).items():
             field = self._fields.get(key)
             if field is not None:
                 field.read(value, name, now)
 
-    def _write_beats(self, _name, _now):
-        return self._view.beats
+    def _write_heartbeats(self, _name, _now):
+        return self._view.heartbeats
 
-    def _read_beats(self, value, _name, now):
+    def _read_heartbeats(self, value, _name, now):
         self._view.merge_heartbeats(value, now)
 
-    def _keep_tasks(self, now):
-        avoid = {name for name, until in self._avoid.items() if until > now}
-        wanted = self._view.partners(now, avoid=avoid)
+    def _update_tasks(self, now):
+        avoid = {
+            name
+            for name, expires_at in self._avoid_until.items()
+            if expires_at > now
+        }
+        partners = self._view.partners(now, avoid=avoid)
         for name in list(self._tasks):
-            if name not in wanted or self._tasks[name].done():
+            if name not in partners or self._tasks[name].done():
                 self._tasks.pop(name).cancel()
-                del self._wakes[name]
-        for name in wanted:
+                del self._wake_events[name]
+        for name in partners:
             if name not in self._tasks:
-                self._wakes[name] = asyncio.Event()
+                self._wake_events[name] = asyncio.Event()
                 self._tasks[name] = asyncio.create_task(
-                    self._talk(name), name=f"peer {name}"
+                    self._exchange_loop(name), name=f"peer {name}"
                 )
 
-    async def _talk(self, name):
-        wake = self._wakes[name]
+    async def _exchange_loop(self, name):
+        wake = self._wake_events[name]
         while True:
             wake.clear()
             member = self._view.member(name)
-            answered = member is not None and await self._exchange(
+            succeeded = member is not None and await self._exchange(
                 member.address, name, member.zone
             )
-            if not answered:
-                self._note_failure(name)
-                await asyncio.sleep(RETRY_S)
+            if not succeeded:
+                self._record_failure(name)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            is_near = member.zone == self._settings.zone
-            period = PERIOD_S if is_near else FAR_PERIOD_S
-            period *= random.uniform(0.9, 1.1)
+            is_same_zone = member.zone == self._settings.zone
+            period_s = PERIOD_S if is_same_zone else CROSS_ZONE_PERIOD_S
+            period_s *= random.uniform(0.9, 1.1)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(wake.wait(), period)
-                await asyncio.sleep(GATHER_S)
+                await asyncio.wait_for(wake.wait(), period_s)
+                await asyncio.sleep(BATCH_DELAY_S)
 
     async def _exchange(self, address, name, zone):
         raw = messages.encode(self._message(name, zone))
@@ -272,43 +291,45 @@
         )
         if isinstance(result, kinds.Failure):
             return False
-        answer, size = result
+        reply, size = result
         self._bytes.inc(size)
-        self._take(answer, self._clock())
+        self._process(reply, self._clock())
         return True
 
-    def _note_failure(self, name):
+    def _record_failure(self, name):
         now = self._clock()
-        count = self._failed.get(name, 0) + 1
-        self._failed[name] = count
-        if count < FAILURES:
+        count = self._failures.get(name, 0) + 1
+        self._failures[name] = count
+        if count < FAILURES_UNTIL_SUSPECT:
             return
-        self._avoid[name] = now + AVOID_S
+        self._avoid_until[name] = now + AVOID_S
         if self._view.suspect(name, now):
             logger.bind(instance=name).info("suspected")
             self.wake()
 
-    async def _seek(self, now):
-        """Ask one that is out of reach, so that cuts heal by themselves.
+    async def _reconnect(self, now):
+        """Contact one unreachable instance, so that partitions heal.
 
         Notes
         -----
-        Two halves of a zone that lost each other hold each other for
-        dead; if neither asked again, they would stay apart for ever.
+        After a partition within a zone each half considers the other
+        dead; if neither tried again, they would stay apart for ever.
         """
         alive = {item.name for item in self._view.alive(now)}
         known = self._view.known()
-        lost = [
+        unreachable = [
             item
             for item in known
             if item.name not in alive and item.state != members.State.LEAVING
         ]
-        lost = [(item.address, item.name, item.zone) for item in lost]
+        unreachable = [
+            (item.address, item.name, item.zone) for item in unreachable
+        ]
         addresses = {item.address for item in known}
         seeds = self._seeds | self._listed
-        lost += [(seed, "", None) for seed in seeds - addresses]
-        if lost:
-            await self._exchange(*random.choice(lost))
+        unreachable += [(seed, "", None) for seed in seeds - addresses]
+        if unreachable:
+            await self._exchange(*random.choice(unreachable))
 
 
 async def _leave_on_stop(core, part):
@@ -318,7 +339,7 @@
 
 @kernel.plugin("gossip", needs=("metrics", "web"))
 async def gossip(core):
-    """Provide the exchange with peers."""
+    """Provide the gossip exchange with peers."""
     part = Gossip(
         settings=core.settings,
         session=core.part("web"),
--- a/sycamoreshed/membership/health.py
+++ b/sycamoreshed/membership/health.py
@@ -1,9 +1,9 @@
-"""Ejecting endpoints that fail or are slow, and trying them again.
+"""Rules for ejecting endpoints that fail or are slow, and for their return.
 
-At the size designed for an instance sends an endpoint one call in ten
-seconds, too few to tell a gray failure by itself.  So tallies of bad
-calls are pooled within a zone; three failures of own calls in a row, or a
-watcher's word that an endpoint does not answer, eject at once.
+At the design size an instance sends an endpoint one call in ten seconds,
+too few to detect a gray failure alone.  So tallies of bad calls are pooled
+within a zone.  Three consecutive failures of own calls, or a prober's
+report that an endpoint does not answer, eject it immediately.
 """
 
 import math
@@ -11,46 +11,46 @@
 import typing
 
 __all__ = [
-    "Record",
+    "EndpointHealth",
     "Tally",
-    "add",
+    "can_try",
     "decayed",
     "eject",
+    "exempt",
     "is_gray",
     "is_slow",
-    "keep",
-    "may_try",
     "pooled",
-    "tried",
+    "record_call",
+    "record_trial",
 ]
 
 HALF_LIFE_S = 10.0
-IN_A_ROW = 3
-LEAST_CALLS = 10
-LEAST_BAD = 3.0
-BAD_SHARE = 0.12
-# A share of bad calls that all endpoints of a service have is no fault of
-# one of them.
-TIMES_OTHERS = 3.0
-SLOW_TIMES = 3.0
-SLOW_S = 0.05
+CONSECUTIVE_FAILURES = 3
+MIN_CALLS = 10
+MIN_BAD_CALLS = 3.0
+MIN_BAD_SHARE = 0.12
+# A share of bad calls that all endpoints of a service have in common is not
+# the fault of one of them.
+MIN_RATIO_TO_OTHERS = 3.0
+SLOW_RATIO = 3.0
+SLOW_MARGIN_S = 0.05
 SMOOTHING = 0.1
-FIRST_EJECTION_S = 2.0
-LONGEST_EJECTION_S = 60.0
-# In use for so long, the next ejection is a first one again.
-HEALTHY_S = 120.0
-TRIAL_S = 1.0
-TRIALS = 3
-MOST_EJECTED = 0.5
+MIN_EJECTION_S = 2.0
+MAX_EJECTION_S = 60.0
+# After this long in use, the next ejection takes the shortest time again.
+EJECTION_RESET_S = 120.0
+TRIAL_INTERVAL_S = 1.0
+TRIALS_TO_RETURN = 3
+MAX_EJECTED_SHARE = 0.5
 
 
 class Tally(typing.NamedTuple):
-    """Calls and bad calls, fading with time.
+    """Exponentially decaying counts of calls and of bad calls.
 
     Parameters
     ----------
     calls, bad : float
-        As of `at`; half of it counts after `HALF_LIFE_S`.
+        Counts as of `at`; they halve every `HALF_LIFE_S`.
     at : float
         Monotonic seconds.
     """
@@ -60,37 +60,36 @@
     at: float = 0.0
 
 
-class Record(typing.NamedTuple):
-    """What an instance holds of an endpoint's health.
+class EndpointHealth(typing.NamedTuple):
+    """An instance's record of an endpoint's health.
 
     Parameters
     ----------
     tally : Tally
         Own calls.
-    row : int
-        Failures in a row.
-    seconds : float or None
-        Smoothed time of good calls.
-    level : int
-        How often it was ejected lately; doubles the time.
-    until : float or None
-        Ejected until then, and on trial after; None if in use.
-    back_at : float
-        When it came back into use.
-    next_trial : float
+    consecutive_failures : int
+    smoothed_s : float or None
+        Smoothed time of successful calls.
+    ejections : int
+        Number of recent ejections; each doubles the time of the next.
+    ejected_until : float or None
+        End of the ejection, after which the endpoint is on trial; None if
+        it is in use.
+    returned_at : float
+        When it last returned to use.
+    next_trial_at : float
         When the next trial call may be sent.
-    trials : int
-        Trial calls that went well.
+    successful_trials : int
     """
 
     tally: Tally = Tally()
-    row: int = 0
-    seconds: float | None = None
-    level: int = 0
-    until: float | None = None
-    back_at: float = 0.0
-    next_trial: float = 0.0
-    trials: int = 0
+    consecutive_failures: int = 0
+    smoothed_s: float | None = None
+    ejections: int = 0
+    ejected_until: float | None = None
+    returned_at: float = 0.0
+    next_trial_at: float = 0.0
+    successful_trials: int = 0
 
 
 def decayed(tally, now):
@@ -106,7 +105,7 @@
 
 
 def is_slow(seconds, others):
-    """Return whether a time is out of line with other endpoints' times.
+    """Return whether a call is slow compared to the other endpoints.
 
     Parameters
     ----------
@@ -116,74 +115,76 @@
     """
     if seconds is None or not others:
         return False
-    middle = statistics.median(others)
-    return seconds > max(SLOW_TIMES * middle, middle + SLOW_S)
+    median_s = statistics.median(others)
+    return seconds > max(SLOW_RATIO * median_s, median_s + SLOW_MARGIN_S)
 
 
-def add(record, now, *, ok, seconds=None, slow=False):
+def record_call(record, now, *, ok, seconds=None, slow=False):
     """Return the record after one call.
 
     Parameters
     ----------
-    record : Record
+    record : EndpointHealth
     now : float
     ok : bool
     seconds : float, optional
         Time of the call.
     slow : bool
-        Whether it was out of line; counts as bad.
+        Whether the call was slow; counts as bad.
     """
     tally = decayed(record.tally, now)
     bad = tally.bad + (not ok or slow)
-    smoothed = record.seconds
+    smoothed_s = record.smoothed_s
     if ok and seconds is not None:
-        before = seconds if smoothed is None else smoothed
-        smoothed = before + SMOOTHING * (seconds - before)
+        previous_s = seconds if smoothed_s is None else smoothed_s
+        smoothed_s = previous_s + SMOOTHING * (seconds - previous_s)
     return record._replace(
         tally=Tally(tally.calls + 1, bad, now),
-        row=0 if ok else record.row + 1,
-        seconds=smoothed,
+        consecutive_failures=0 if ok else record.consecutive_failures + 1,
+        smoothed_s=smoothed_s,
     )
 
 
 def pooled(own, others, instances, now):
-    """Return the tally of a zone.
+    """Return the pooled tally of a zone.
 
     Parameters
     ----------
     own : Tally
     others : iterable of Tally
-        Of peers that had bad calls.
+        Tallies of peers that had bad calls.
     instances : int
-        Live ones in the zone.
+        Number of live instances in the zone.
     now : float
 
     Notes
     -----
-    Only those who had bad calls tell their tallies.  Taken alone these
-    would make any endpoint look bad, so those who are silent count as
-    having made as many calls as the rest do on average, and none bad.
+    Only instances that had bad calls publish their tallies.  Alone these
+    would make any endpoint look bad, so an instance without a tally counts
+    as having made the average number of calls, none of them bad.
     """
-    known = [decayed(item, now) for item in (own, *others)]
-    calls = sum(item.calls for item in known)
-    bad = sum(item.bad for item in known)
-    silent = max(instances - len(known), 0)
-    return Tally(calls + silent * calls / len(known), bad, now)
+    tallies = [decayed(item, now) for item in (own, *others)]
+    calls = sum(item.calls for item in tallies)
+    bad = sum(item.bad for item in tallies)
+    unreported = max(instances - len(tallies), 0)
+    return Tally(calls + unreported * calls / len(tallies), bad, now)
 
 
-def is_gray(tally, rest):
-    """Return whether an endpoint is out of line with the rest.
+def is_gray(tally, others):
+    """Return whether an endpoint has a gray failure.
 
     Parameters
     ----------
-    tally, rest : Tally
-        Of the endpoint, of the service's others together.
+    tally : Tally
+        Calls to the endpoint.
+    others : Tally
+        Calls to the service's other endpoints together.
     """
-    if tally.calls < LEAST_CALLS or tally.bad < LEAST_BAD:
+    if tally.calls < MIN_CALLS or tally.bad < MIN_BAD_CALLS:
         return False
     share = tally.bad / tally.calls
-    usual = rest.bad / rest.calls if rest.calls else 0.0
-    return share >= max(BAD_SHARE, TIMES_OTHERS * usual)
+    usual_share = others.bad / others.calls if others.calls else 0.0
+    return share >= max(MIN_BAD_SHARE, MIN_RATIO_TO_OTHERS * usual_share)
 
 
 def eject(record, now):
@@ -191,59 +192,64 @@
 
     Examples
     --------
-    >>> first = eject(Record(), 0.0)
-    >>> first.until, eject(first, 2.0).until
+    >>> first = eject(EndpointHealth(), 0.0)
+    >>> first.ejected_until, eject(first, 2.0).ejected_until
     (2.0, 6.0)
     """
-    level = record.level
-    if record.until is None and now - record.back_at > HEALTHY_S:
-        level = 0
-    seconds = min(FIRST_EJECTION_S * 2**level, LONGEST_EJECTION_S)
+    ejections = record.ejections
+    if (
+        record.ejected_until is None
+        and now - record.returned_at > EJECTION_RESET_S
+    ):
+        ejections = 0
+    seconds = min(MIN_EJECTION_S * 2**ejections, MAX_EJECTION_S)
     return record._replace(
-        level=level + 1,
-        until=now + seconds,
-        next_trial=now + seconds,
-        trials=0,
+        ejections=ejections + 1,
+        ejected_until=now + seconds,
+        next_trial_at=now + seconds,
+        successful_trials=0,
     )
 
 
-def may_try(record, now):
-    """Return whether a call may be sent: in use, or a trial is due."""
-    if record.until is None:
+def can_try(record, now):
+    """Return whether the endpoint is in use or a trial call is due."""
+    if record.ejected_until is None:
         return True
-    return now >= record.next_trial
+    return now >= record.next_trial_at
 
 
-def tried(record, now, *, ok):
+def record_trial(record, now, *, ok):
     """Return the record after a trial call.
 
     Notes
     -----
-    The tally begins anew with the return to use; the old one would eject
-    the endpoint again for what was before.
+    The tally is reset on the return to use; the old one would eject the
+    endpoint again for calls before the ejection.
     """
     if not ok:
         return eject(record, now)
-    if record.trials + 1 < TRIALS:
-        return record._replace(trials=record.trials + 1, next_trial=now)
+    if record.successful_trials + 1 < TRIALS_TO_RETURN:
+        return record._replace(
+            successful_trials=record.successful_trials + 1, next_trial_at=now
+        )
     return record._replace(
         tally=Tally(at=now),
-        row=0,
-        seconds=None,
-        until=None,
-        back_at=now,
-        trials=0,
+        consecutive_failures=0,
+        smoothed_s=None,
+        ejected_until=None,
+        returned_at=now,
+        successful_trials=0,
     )
 
 
-def keep(present, records):
-    """Return the names to use although ejected, so that enough are left.
+def exempt(candidates, records):
+    """Return the ejected endpoints to use all the same.
 
     Parameters
     ----------
-    present : list of str
-        All endpoints of a service that are not leaving.
-    records : dict of str to Record
+    candidates : list of str
+        Endpoints of a service that may get calls unless ejected.
+    records : dict of str to EndpointHealth
 
     Returns
     -------
@@ -251,17 +257,17 @@
 
     Notes
     -----
-    If most were ejected, the rest would fall over under the load of all,
-    and the fault may be on our side.  So at most a share is out at a
-    time, and the least bad are kept.
+    If most endpoints were ejected, the rest would be overloaded, and the
+    fault may be on the side of this instance.  So at most
+    `MAX_EJECTED_SHARE` is ejected at a time, and the least bad are used.
     """
     ejected = [
         name
-        for name in present
-        if name in records and records[name].until is not None
+        for name in candidates
+        if name in records and records[name].ejected_until is not None
     ]
-    most = math.floor(len(present) * MOST_EJECTED)
-    surplus = len(ejected) - most
+    max_ejected = math.floor(len(candidates) * MAX_EJECTED_SHARE)
+    surplus = len(ejected) - max_ejected
     if surplus <= 0:
         return set()
     ejected.sort(key=lambda name: (_badness(records[name]), name))
@@ -270,4 +276,7 @@
 
 def _badness(record):
     calls = max(record.tally.calls, 1.0)
-    return (min(record.row, IN_A_ROW), record.tally.bad / calls)
+    return (
+        min(record.consecutive_failures, CONSECUTIVE_FAILURES),
+        record.tally.bad / calls,
+    )
--- a/sycamoreshed/membership/listing.py
+++ b/sycamoreshed/membership/listpoller.py
@@ -1,4 +1,8 @@
-"""What the platform's lagging list adds: leavers, and addresses."""
+"""Polling of the platform's instance list, which lags.
+
+The list names the leaving instances and endpoints, and gives the control
+addresses of entry instances.
+"""
 
 import asyncio
 import random
@@ -7,28 +11,28 @@
 from sycamoreshed.membership import rendezvous
 from sycamoreshed.membership import topics
 
-__all__ = ["Listing"]
+__all__ = ["InstanceListPoller"]
 
 LISTED = "listed"
-READERS = 2
-OFTEN_S = 2.0
-SELDOM_S = 30.0
+POLLERS_PER_ZONE = 2
+FREQUENT_POLL_S = 2.0
+INFREQUENT_POLL_S = 30.0
 
 
 @topics.topic(LISTED, urgent=True)
-def merge_listed(held, came):
-    """Keep the greater generation; of one generation, leaving (1) holds.
+def merge_listed(stored, received):
+    """Keep the greater generation; within it, leaving (1) wins.
 
     Notes
     -----
-    The list lags, and its readers see it at different times.  An old
-    list has a lower generation, so that it brings no leaver back.
+    The list lags, and instances read it at different times.  An outdated
+    list has a lower generation, so that it revives no leaving instance.
     """
-    return topics.newest(held, came)
+    return topics.newest(stored, received)
 
 
-class Listing:
-    """Reads the list, often on a few instances of each zone.
+class InstanceListPoller:
+    """Polls the list, frequently on a few instances of each zone.
 
     Parameters
     ----------
@@ -49,16 +53,23 @@
         gossip.on_record(LISTED, self._refresh, own=True)
 
     async def run(self):
-        """Read the list again and again."""
+        """Poll the list periodically."""
         while True:
             items = await self._source.read()
             if not isinstance(items, kinds.Failure):
-                self.take(items)
-            seconds = OFTEN_S if self._is_reader() else SELDOM_S
+                self.update(items)
+            seconds = (
+                FREQUENT_POLL_S if self._is_poller() else INFREQUENT_POLL_S
+            )
             await asyncio.sleep(seconds * random.uniform(0.8, 1.2))
 
-    def take(self, items):
-        """Take in a list of `Listed`."""
+    def update(self, items):
+        """Publish which names are leaving; store the instance addresses.
+
+        Parameters
+        ----------
+        items : list of Listed
+        """
         endpoints = {
             item.name
             for group in self._notes.config.endpoints.values()
@@ -66,23 +77,24 @@
         }
         for item in items:
             is_leaving = item.state == "leaving"
-            held = self._gossip.get(LISTED, item.name)
-            # That one is live is told only to undo that it was leaving.
-            if is_leaving or held is not None:
+            stored = self._gossip.get(LISTED, item.name)
+            # The live state is published only to replace an earlier record
+            # of leaving.
+            if is_leaving or stored is not None:
                 value = [item.generation, int(is_leaving)]
                 self._gossip.put(LISTED, item.name, value)
         self._gossip.set_listed(
             item.address for item in items if item.name not in endpoints
         )
 
-    def _is_reader(self):
+    def _is_poller(self):
         zone = self._settings.zone
         names = [
             item.name
             for item in self._gossip.view.alive_in_zone(self._clock())
         ]
         return self._settings.instance in rendezvous.top(
-            f"list {zone}", names, READERS
+            f"list {zone}", names, POLLERS_PER_ZONE
         )
 
     def _refresh(self, _name, _value, _now):
--- a/sycamoreshed/membership/members.py
+++ b/sycamoreshed/membership/members.py
@@ -1,4 +1,4 @@
-"""Which entry instances are alive, and which talk to which."""
+"""Live entry instances, and the choice of gossip partners."""
 
 import enum
 import typing
@@ -6,19 +6,19 @@
 from sycamoreshed.membership import rendezvous
 from sycamoreshed.membership import topics
 
-__all__ = ["Live", "Member", "State", "alive", "count", "partners"]
+__all__ = ["InstanceCounts", "Member", "State", "alive", "count", "partners"]
 
 TOPIC = "member"
-# A suspected instance has this long to object, in seconds.
-SUSPECT_S = 4.0
-# A zone from which nothing new came for this long is out of reach.
-ZONE_S = 10.0
+# Time a suspected instance has to refute the suspicion.
+SUSPICION_TIMEOUT_S = 4.0
+# A zone without a new heartbeat for this long is unreachable.
+ZONE_TIMEOUT_S = 10.0
 DELEGATES = 2
-ZONE_LINKS = 2
+IN_ZONE_PARTNERS = 2
 
 
 class State(enum.IntEnum):
-    """State of an instance; of one generation the greater holds."""
+    """State of an instance; within a generation the greater wins."""
 
     LIVE = 0
     SUSPECT = 1
@@ -26,13 +26,13 @@
 
 
 class Member(typing.NamedTuple):
-    """An entry instance as others know it.
+    """The record of an entry instance.
 
     Parameters
     ----------
     generation : int
-        Milliseconds of the wall clock at its start; the instance itself
-        raises it to object to something said of it.
+        Wall clock at its start, in milliseconds; the instance itself
+        raises it to refute a wrong record.
     state : int
         A `State`.
     address : str
@@ -48,37 +48,37 @@
     name: str
 
 
-class Live(typing.NamedTuple):
-    """How many instances are alive, here and by zone."""
+class InstanceCounts(typing.NamedTuple):
+    """Numbers of live instances, in total and by zone."""
 
     total: int
     zones: dict
 
 
 @topics.topic(TOPIC, urgent=True)
-def merge(held, came):
-    """Keep the greater generation, and of one generation the end of it.
+def merge(stored, received):
+    """Keep the greater generation, and within it the greater state.
 
     Notes
     -----
-    A late message that says "live" has the generation of before the
-    instance left, in which "leaving" holds: so it revives nobody.
+    A late `LIVE` record has at most the generation of the `LEAVING`
+    record, which wins, so the instance is not revived.
     """
-    if held is None or tuple(came[:2]) > tuple(held[:2]):
-        return came
-    return held
+    if stored is None or tuple(received[:2]) > tuple(stored[:2]):
+        return received
+    return stored
 
 
-def alive(members, *, suspected, beats, own_zone, now):
-    """Return the members that may be counted on.
+def alive(members, *, suspected_at, heartbeat_at, own_zone, now):
+    """Return the members considered alive.
 
     Parameters
     ----------
     members : iterable of Member
-    suspected : dict of str to float
-        When each suspicion was heard, in monotonic seconds.
-    beats : dict of str to float
-        When each zone was last heard of, in monotonic seconds.
+    suspected_at : dict of str to float
+        Time of each suspicion by name, in monotonic seconds.
+    heartbeat_at : dict of str to float
+        Time of the last new heartbeat by zone, in monotonic seconds.
     own_zone : str
     now : float
 
@@ -87,42 +87,45 @@
     list of Member
         In alphabetical order.
     """
-    result = []
+    alive_members = []
     for item in members:
         if item.state == State.LEAVING:
             continue
         if item.zone != own_zone:
-            heard = beats.get(item.zone)
-            if heard is None or now - heard > ZONE_S:
+            last_heartbeat_at = heartbeat_at.get(item.zone)
+            if (
+                last_heartbeat_at is None
+                or now - last_heartbeat_at > ZONE_TIMEOUT_S
+            ):
                 continue
         if item.state == State.SUSPECT:
-            since = suspected.get(item.name)
-            if since is None or now - since > SUSPECT_S:
+            since = suspected_at.get(item.name)
+            if since is None or now - since > SUSPICION_TIMEOUT_S:
                 continue
-        result.append(item)
-    return sorted(result, key=lambda item: item.name)
+        alive_members.append(item)
+    return sorted(alive_members, key=lambda item: item.name)
 
 
 def count(members):
-    """Return the `Live` count of members."""
+    """Return the `InstanceCounts` of members."""
     zones = {}
     for item in members:
         zones[item.zone] = zones.get(item.zone, 0) + 1
-    return Live(len(members), zones)
+    return InstanceCounts(len(members), zones)
 
 
-def partners(own, near, far, *, avoid=frozenset()):
+def partners(own, zone_members, remote_members, *, avoid=frozenset()):
     """Return the names an instance exchanges messages with.
 
     Parameters
     ----------
     own : Member
-    near : list of Member
-        Of the own zone, alive, the own one among them.
-    far : list of Member
-        Of other zones, neither suspected nor leaving.
+    zone_members : list of Member
+        Live members of the own zone, including the own one.
+    remote_members : list of Member
+        Members of other zones, neither suspected nor leaving.
     avoid : set of str
-        Names that did not answer lately.
+        Names of instances that did not answer recently.
 
     Returns
     -------
@@ -130,25 +133,26 @@
 
     Notes
     -----
-    Within a zone each talks to the next by name, which closes a ring
-    that all are on, and to one more by hash, which makes ways short.
-    Between two zones only `DELEGATES` of each talk: traffic between
-    zones and regions is paid for, and news comes to a zone once.
+    Within a zone each instance is linked to the next by name, which forms
+    a ring of all of them, and to one more by hash, which shortens the
+    paths.  Between two zones only `DELEGATES` of each exchange messages:
+    traffic between zones and regions is billed, and a change needs to
+    reach a zone only once.
     """
-    names = [item.name for item in near if item.name not in avoid]
+    names = [item.name for item in zone_members if item.name not in avoid]
     chosen = []
     others = [name for name in names if name != own.name]
     if others:
         later = [name for name in others if name > own.name]
         chosen.append(min(later) if later else min(others))
-        chosen += rendezvous.top(own.name, others, ZONE_LINKS - 1)
+        chosen += rendezvous.top(own.name, others, IN_ZONE_PARTNERS - 1)
     zones = {}
-    for item in far:
+    for item in remote_members:
         if item.name not in avoid:
             zones.setdefault(item.zone, []).append(item.name)
-    locals_ = {*names, own.name}
+    zone_names = {*names, own.name}
     for zone in sorted(zones):
-        duty = f"{own.zone}>{zone}"
-        if own.name in rendezvous.top(duty, locals_, DELEGATES):
+        link_key = f"{own.zone}>{zone}"
+        if own.name in rendezvous.top(link_key, zone_names, DELEGATES):
             chosen += rendezvous.top(own.name, zones[zone], 1)
     return list(dict.fromkeys(chosen))
--- a/sycamoreshed/membership/membership.py
+++ b/sycamoreshed/membership/membership.py
@@ -1,48 +1,48 @@
-"""Which endpoints may get new work, and which instances are live."""
+"""Selection of usable endpoints, and the number of live instances."""
 
 from sycamoreshed.kernel import kernel
-from sycamoreshed.membership import evidence
 from sycamoreshed.membership import health
-from sycamoreshed.membership import listing
+from sycamoreshed.membership import listpoller
 from sycamoreshed.membership import members
-from sycamoreshed.membership import watching
+from sycamoreshed.membership import outliers
+from sycamoreshed.membership import probing
 
 __all__ = ["Membership"]
 
 
 class Membership:
-    """Decides, for each choice anew, who may be chosen.
+    """Determines which endpoints may get new calls.
 
     Parameters
     ----------
     notes : Notes
     gossip : Gossip
-    evidence : Evidence
-    listing : Listing
-    watching : Watching
+    outliers : OutlierDetector
+    poller : InstanceListPoller
+    prober : Prober
     """
 
-    def __init__(self, *, notes, gossip, evidence, listing, watching):
+    def __init__(self, *, notes, gossip, outliers, poller, prober):
         self._notes = notes
         self._gossip = gossip
-        self._evidence = evidence
-        self._listing = listing
-        self._watching = watching
-        self._withheld = None
-        notes.on_change(self._forget)
+        self._outliers = outliers
+        self._poller = poller
+        self._prober = prober
+        self._excluded = None
+        notes.on_change(self._drop_withdrawn)
 
     @property
     def load_reports(self):
         """Load reports by endpoint: (report, monotonic seconds)."""
-        return self._watching.reports
+        return self._prober.reports
 
     def candidates(self, config, service, now):
-        """Return the endpoints of a service that may get new work.
+        """Return the endpoints of a service that may get new calls.
 
         Parameters
         ----------
         config : Config
-            The version the request was admitted under.
+            The version under which the request was admitted.
         service : str
         now : float
             Monotonic seconds.
@@ -54,45 +54,54 @@
         Notes
         -----
         A request keeps its version, but an endpoint that was withdrawn
-        since, or is leaving, gets nothing new from it either.
+        since then, or is leaving, gets no new calls from it either.
+        Including an ejected endpoint because its trial is due starts that
+        trial.
         """
-        present = self._present(config, service)
-        present = self._in_reach(present, now)
-        present = self._without_withheld(present, now)
-        out = self._evidence.out
-        if out.isdisjoint(item.name for item in present):
+        present = self._configured(config, service)
+        present = self._in_reachable_zones(present, now)
+        present = self._without_excluded(present, now)
+        ejected = self._outliers.ejected
+        if ejected.isdisjoint(item.name for item in present):
             return present
-        kept = health.keep(
-            [item.name for item in present], self._evidence.records
+        exempt = health.exempt(
+            [item.name for item in present], self._outliers.records
         )
         return [
             item
             for item in present
-            if item.name not in out
-            or item.name in kept
-            or self._is_due(item.name, now)
+            if item.name not in ejected
+            or item.name in exempt
+            or self._claim_trial(item.name, now)
         ]
 
     def exclude(self, func):
-        """Give nothing new to endpoints that a function names.
+        """Exclude the engines that a function names from new calls.
+
+        They get calls all the same if no other endpoint is left.
 
         Parameters
         ----------
         func : callable
-            Takes the present time, returns names of engines that load.
+            Takes the current time, returns names of engines that are
+            loading.
         """
-        self._withheld = func
+        self._excluded = func
 
     def live_instances(self, now):
-        """Return how many entry instances are alive, and by zone.
+        """Return the numbers of live entry instances.
 
         Returns
         -------
-        Live
-            Total and counts by zone; zones out of reach have none.
-            Made anew each time: for once a second, not for each request.
+        InstanceCounts
+            Total and counts by zone; unreachable zones are absent.
+
+        Notes
+        -----
+        The result is not cached: call it about once a second, not for
+        each request.
         """
-        leaving = self._listing.leaving
+        leaving = self._poller.leaving
         return members.count(
             [
                 item
@@ -102,7 +111,7 @@
         )
 
     def report(self, endpoint, *, ok, now, seconds=None):
-        """Take in the outcome of one call.
+        """Record the outcome of one call.
 
         Parameters
         ----------
@@ -111,56 +120,56 @@
         now : float
             Monotonic seconds.
         seconds : float, optional
-            Time of the call; without it slowness goes unnoticed.
+            Time of the call; without it slowness is not detected.
         """
         group = self._notes.config.endpoints.get(endpoint.service, ())
         names = [item.name for item in group]
         if endpoint.name in names:
-            self._evidence.outcome(
+            self._outliers.record_outcome(
                 endpoint, names, ok=ok, seconds=seconds, now=now
             )
 
-    def _present(self, config, service):
+    def _configured(self, config, service):
         items = config.endpoints.get(service, ())
         current = self._notes.config
         if config is not current:
             names = {item.name for item in current.endpoints.get(service, ())}
             items = [item for item in items if item.name in names]
-        leaving = self._listing.leaving
+        leaving = self._poller.leaving
         return [item for item in items if item.name not in leaving]
 
-    def _in_reach(self, present, now):
-        """Leave out zones out of reach, unless none else is left."""
-        lost = self._gossip.view.lost_zones(now)
-        if not lost:
+    def _in_reachable_zones(self, present, now):
+        """Leave out unreachable zones, unless no others are left."""
+        unreachable = self._gossip.view.unreachable_zones(now)
+        if not unreachable:
             return present
-        near = [item for item in present if item.zone not in lost]
-        return near or present
+        reachable = [item for item in present if item.zone not in unreachable]
+        return reachable or present
 
-    def _without_withheld(self, present, now):
-        """Leave out engines that load, unless none else is left."""
-        names = self._withheld(now) if self._withheld else None
+    def _without_excluded(self, present, now):
+        """Leave out loading engines, unless no others are left."""
+        names = self._excluded(now) if self._excluded else None
         if not names:
             return present
-        kept = [item for item in present if item.name not in names]
-        return kept or present
+        remaining = [item for item in present if item.name not in names]
+        return remaining or present
 
-    def _is_due(self, name, now):
-        if not self._evidence.may_use(name, now):
+    def _claim_trial(self, name, now):
+        if not self._outliers.is_trial_due(name, now):
             return False
-        self._evidence.begin_trial(name, now)
+        self._outliers.start_trial(name, now)
         return True
 
-    def _forget(self):
+    def _drop_withdrawn(self):
         names = {
             item.name
             for group in self._notes.config.endpoints.values()
             for item in group
         }
-        self._evidence.forget(names)
-        for name in list(self._watching.reports):
+        self._outliers.retain(names)
+        for name in list(self._prober.reports):
             if name not in names:
-                del self._watching.reports[name]
+                del self._prober.reports[name]
 
 
 @kernel.plugin(
@@ -175,37 +184,37 @@
     ),
 )
 async def membership(core):
-    """Provide evidence about endpoints and live instances."""
+    """Provide the choice of usable endpoints and the live instances."""
     gossip = core.part("gossip")
     notes = core.part("notes")
-    seen = evidence.Evidence(
+    detector = outliers.OutlierDetector(
         gossip=gossip,
         instance=core.settings.instance,
         log=core.part("decisions"),
     )
-    reader = listing.Listing(
+    poller = listpoller.InstanceListPoller(
         settings=core.settings,
         source=core.part("instance_list"),
         notes=notes,
         gossip=gossip,
         clock=core.clock,
     )
-    watcher = watching.Watching(
+    prober = probing.Prober(
         settings=core.settings,
         notes=notes,
         gossip=gossip,
-        evidence=seen,
+        outliers=detector,
         client=core.part("endpoints"),
         metrics=core.part("metrics"),
         clock=core.clock,
     )
-    core.spawn(reader.run(), name="instance list")
-    core.spawn(watcher.run(), name="watching")
+    core.spawn(poller.run(), name="instance list")
+    core.spawn(prober.run(), name="watching")
     yield Membership(
         notes=notes,
         gossip=gossip,
-        evidence=seen,
-        listing=reader,
-        watching=watcher,
+        outliers=detector,
+        poller=poller,
+        prober=prober,
     )
-    await watcher.stop()
+    await prober.stop()
--- a/sycamoreshed/membership/messages.py
+++ b/sycamoreshed/membership/messages.py
@@ -1,4 +1,4 @@
-"""The message peers exchange, and the call that carries it."""
+"""The gossip message, and the HTTP request that sends it."""
 
 import typing
 
@@ -12,20 +12,20 @@
 __all__ = ["Message", "decode", "encode", "post"]
 
 PATH = "/control/gossip"
-# Lines of a request and of its answer beside the body, as sent by this
-# program; counted so that the budget of bytes is held on the wire.
-REQUEST_BYTES = 135
-ANSWER_BYTES = 160
-SKIPPED = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
+# Header bytes of a request and of its response, as sent by this program;
+# counted so that the byte budget covers everything on the wire.
+REQUEST_HEADER_BYTES = 135
+RESPONSE_HEADER_BYTES = 160
+SKIPPED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 
 class Message(typing.TypedDict):
     """One side of an exchange.
 
-    ``name``, ``boot`` and ``zone`` name the sender and its process;
+    ``name``, ``boot`` and ``zone`` identify the sender and its process;
     ``base``, ``last`` and ``records`` are a delta of its records;
     ``ack`` is the position up to which it has the receiver's records, of
-    the process ``of``; ``fields`` are what plug-ins hang on.
+    the process ``of``; ``fields`` are added by plug-ins.
     """
 
     name: str
@@ -40,28 +40,28 @@
 
 
 def encode(message):
-    """Return a message as bytes."""
+    """Return a message as JSON bytes."""
     return msgspec.json.encode(message)
 
 
 def decode(raw):
-    """Return a message.
+    """Return the message decoded from JSON bytes.
 
     Raises
     ------
     msgspec.MsgspecError
-        If it is not one.
+        If they are not a valid message.
     """
     return msgspec.json.decode(raw, type=Message)
 
 
 async def post(session, address, raw, *, timeout):
-    """Send a message over the kept-alive session.
+    """Send a message to a peer over a keep-alive session.
 
     Returns
     -------
     tuple of Message and int, or Failure
-        The answer and how many bytes both took.
+        The peer's message, and the bytes of request and response.
     """
     try:
         async with (
@@ -69,16 +69,21 @@
             session.post(
                 f"http://{address}{PATH}",
                 data=raw,
-                skip_auto_headers=SKIPPED,
+                skip_auto_headers=SKIPPED_HEADERS,
                 timeout=aiohttp.ClientTimeout(total=None),
             ) as response,
         ):
-            answer = await response.read()
+            body = await response.read()
             if response.status != 200:
                 return kinds.Failure(
                     kinds.Kind.REFUSED, f"status {response.status}"
                 )
-            size = len(raw) + len(answer) + REQUEST_BYTES + ANSWER_BYTES
-            return decode(answer), size
+            size = (
+                len(raw)
+                + len(body)
+                + REQUEST_HEADER_BYTES
+                + RESPONSE_HEADER_BYTES
+            )
+            return decode(body), size
     except (*web.ERRORS, msgspec.MsgspecError) as err:
         return kinds.Failure(kinds.Kind.REFUSED, web.describe(err))
--- a/sycamoreshed/membership/records.py
+++ b/sycamoreshed/membership/records.py
@@ -1,4 +1,4 @@
-"""The records an instance holds, in the order in which they changed."""
+"""Storage of gossiped records in the order of their changes."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 __all__ = ["Delta", "Records"]
 
-MOST_RECORDS = 500
+MAX_RECORDS = 500
 
 
 class Delta(typing.NamedTuple):
@@ -30,13 +30,13 @@
 
     Notes
     -----
-    A dictionary keeps the order of insertion, so a changed record is
-    taken out and put in again; what changed since a position is then
-    found from the end without looking at the rest.
+    A dictionary keeps the insertion order, so a changed record is removed
+    and inserted again; the changes since a position are then found from
+    the end without scanning the rest.
     """
 
     def __init__(self):
-        self._held = {}
+        self._changes = {}
         self._by_topic = {}
         self._last = 0
 
@@ -50,7 +50,7 @@
         return self._by_topic.get(topic, {}).get(key)
 
     def entries(self, topic):
-        """Return the values of a topic by key; not to be changed."""
+        """Return a topic's values by key; callers must not modify it."""
         return self._by_topic.get(topic, {})
 
     def merge(self, topic, key, value, *, via=None):
@@ -59,53 +59,54 @@
         Parameters
         ----------
         via : object, optional
-            Names the process that told it, which need not be told.
+            Identifies the process that sent it; the change is not sent
+            back to it.
 
         Raises
         ------
         RegistryError
             If there is no such topic.
         """
-        rule = topics.TOPICS.get(topic)
-        held = self.get(topic, key)
-        result = rule.merge(held, value)
-        if result is held or result == held:
+        topic_spec = topics.TOPICS.get(topic)
+        stored = self.get(topic, key)
+        merged = topic_spec.merge(stored, value)
+        if merged is stored or merged == stored:
             return False
-        self._held.pop((topic, key), None)
+        self._changes.pop((topic, key), None)
         self._last += 1
-        self._held[topic, key] = (self._last, via)
-        self._by_topic.setdefault(topic, {})[key] = result
+        self._changes[topic, key] = (self._last, via)
+        self._by_topic.setdefault(topic, {})[key] = merged
         return True
 
     def drop(self, topic, key):
-        """Forget a record here; nothing is told to others."""
-        self._held.pop((topic, key), None)
+        """Remove a record locally; this is not gossiped."""
+        self._changes.pop((topic, key), None)
         self._by_topic.get(topic, {}).pop(key, None)
 
     def since(self, base, *, same_zone, to=None):
-        """Return a `Delta` of at most `MOST_RECORDS`, oldest first.
+        """Return a `Delta` of at most `MAX_RECORDS`, oldest first.
 
         Parameters
         ----------
         base : int
-            Position up to which the receiver has everything.
+            Position up to which the receiver has all records.
         same_zone : bool
-            Whether records that stay in the zone may go to it.
+            Whether to include records that must not leave the zone.
         to : object, optional
-            Names the receiving process.
+            Identifies the receiving process.
         """
         changed = []
-        for (topic, key), (position, via) in reversed(self._held.items()):
+        for (topic, key), (position, via) in reversed(self._changes.items()):
             if position <= base:
                 break
             if via is None or via != to:
                 changed.append((position, topic, key))
         changed.reverse()
-        part = changed[:MOST_RECORDS]
-        last = part[-1][0] if len(part) < len(changed) else self._last
-        sent = [
+        batch = changed[:MAX_RECORDS]
+        last = batch[-1][0] if len(batch) < len(changed) else self._last
+        items = [
             [topic, key, self.get(topic, key)]
-            for _, topic, key in part
+            for _, topic, key in batch
             if same_zone or not topics.TOPICS.get(topic).zone_only
         ]
-        return Delta(base, last, sent)
+        return Delta(base, last, items)
--- a/sycamoreshed/membership/rendezvous.py
+++ b/sycamoreshed/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: the same choice everywhere, without a message."""
+"""Rendezvous hashing: the same choice on all instances, uncoordinated."""
 
 import xxhash
 
@@ -6,7 +6,7 @@
 
 
 def rank(key, name):
-    """Return the weight of `name` for `key`, equal on every instance."""
+    """Return the weight of `name` for `key`, the same on all instances."""
     return xxhash.xxh3_64_intdigest(f"{key}|{name}".encode())
 
 
@@ -16,14 +16,15 @@
     Parameters
     ----------
     key : str
-        What is shared out.
+        Key to assign.
     names : iterable of str
     count : int
 
     Returns
     -------
     list of str
-        Best first.  A name that goes moves only the keys it had.
+        Greatest weight first.  Removing a name reassigns only the keys
+        that were assigned to it.
 
     Examples
     --------
--- a/sycamoreshed/membership/tests/test_membership.py
+++ b/sycamoreshed/membership/tests/test_membership.py
@@ -4,10 +4,10 @@
 
 from sycamoreshed.adapters import instancelist
 from sycamoreshed.config import state
-from sycamoreshed.membership import evidence
 from sycamoreshed.membership import health
-from sycamoreshed.membership import listing
+from sycamoreshed.membership import listpoller
 from sycamoreshed.membership import membership
+from sycamoreshed.membership import outliers
 from sycamoreshed.membership import records
 from sycamoreshed.observe import logs
 from testkit import builders
@@ -15,35 +15,35 @@
 NAMES = [f"encoder-{n}" for n in range(1, 5)]
 
 
-class Spread:
-    """Stands for the exchange with peers: records, no messages."""
+class FakeGossip:
+    """Fake of the gossip service: stores records, sends no messages."""
 
     def __init__(self):
-        self.held = records.Records()
-        self.heard = {}
-        self.lost = set()
+        self.records = records.Records()
+        self.listeners = {}
+        self.unreachable = set()
 
     @property
     def view(self):
         return self
 
     def on_record(self, topic, func, *, own=False):
-        self.heard[topic] = (func, own)
+        self.listeners[topic] = (func, own)
 
     def put(self, topic, key, value, *, via=None, now=0.0):
-        if self.held.merge(topic, key, value):
-            func, own = self.heard[topic]
+        if self.records.merge(topic, key, value):
+            func, own = self.listeners[topic]
             if own or via:
                 func(key, value, now)
 
     def get(self, topic, key):
-        return self.held.get(topic, key)
+        return self.records.get(topic, key)
 
     def entries(self, topic):
-        return self.held.entries(topic)
+        return self.records.entries(topic)
 
     def drop(self, topic, key):
-        self.held.drop(topic, key)
+        self.records.drop(topic, key)
 
     def set_listed(self, addresses):
         self.addresses = set(addresses)
@@ -51,8 +51,8 @@
     def alive_in_zone(self, now):
         return [None, None]
 
-    def lost_zones(self, now):
-        return self.lost
+    def unreachable_zones(self, now):
+        return self.unreachable
 
 
 def build():
@@ -64,30 +64,30 @@
     notes = types.SimpleNamespace(
         config=builders.config(specs), on_change=lambda func: None
     )
-    spread = Spread()
-    seen = evidence.Evidence(
-        gossip=spread,
+    gossip = FakeGossip()
+    detector = outliers.OutlierDetector(
+        gossip=gossip,
         instance="entry-1",
         log=logs.DecisionLog(),
         wall=lambda: 1.0,
     )
-    reader = listing.Listing(
-        settings=None, source=None, notes=notes, gossip=spread, clock=None
+    poller = listpoller.InstanceListPoller(
+        settings=None, source=None, notes=notes, gossip=gossip, clock=None
     )
-    watcher = types.SimpleNamespace(reports={})
+    prober = types.SimpleNamespace(reports={})
     part = membership.Membership(
         notes=notes,
-        gossip=spread,
-        evidence=seen,
-        listing=reader,
-        watching=watcher,
+        gossip=gossip,
+        outliers=detector,
+        poller=poller,
+        prober=prober,
     )
-    return part, notes, spread, reader
+    return part, notes, gossip, poller
 
 
 def names(part, notes, now, config=None):
-    found = part.candidates(config or notes.config, "encoder", now)
-    return [item.name for item in found]
+    candidates = part.candidates(config or notes.config, "encoder", now)
+    return [item.name for item in candidates]
 
 
 def listed(name, status, generation):
@@ -96,9 +96,9 @@
 
 LISTS = [
     ("leaving", [("leaving", 5)], False),
-    ("an old list after", [("leaving", 5), ("live", 4)], False),
+    ("then an outdated list", [("leaving", 5), ("live", 4)], False),
     ("the same generation", [("leaving", 5), ("live", 5)], False),
-    ("back with a new one", [("leaving", 5), ("live", 6)], True),
+    ("a greater generation", [("leaving", 5), ("live", 6)], True),
     ("always live", [("live", 4)], True),
 ]
 
@@ -106,18 +106,18 @@
 @pytest.mark.parametrize(
     "states, usable", [row[1:] for row in LISTS], ids=[r[0] for r in LISTS]
 )
-def test_old_lists_never_bring_a_leaver_back(states, usable):
-    """The platform's list lags, and its readers see it at other times.
+def test_outdated_lists_never_revive_a_leaving_endpoint(states, usable):
+    """The platform's list lags, and instances read it at different times.
 
-    A leaver that came back would be given work it is about to drop.
+    A revived endpoint would be sent calls that it is about to drop.
     """
-    part, notes, _, reader = build()
+    part, notes, _, poller = build()
     for status, generation in states:
-        reader.take([listed("encoder-2", status, generation)])
+        poller.update([listed("encoder-2", status, generation)])
     assert ("encoder-2" in names(part, notes, 0.0)) is usable
 
 
-def test_withdrawn_endpoints_get_nothing_new_from_older_requests():
+def test_withdrawn_endpoints_get_no_new_calls_of_older_requests():
     part, notes, _, _ = build()
     admitted = notes.config
     notes.config = state.apply_note(
@@ -126,11 +126,11 @@
     assert names(part, notes, 0.0, admitted) == NAMES[1:]
 
 
-def test_endpoints_of_zones_out_of_reach_are_left_out_if_others_are_left():
-    part, notes, spread, _ = build()
-    spread.lost = {"south-a"}
+def test_endpoints_of_unreachable_zones_are_left_out_if_others_remain():
+    part, notes, gossip, _ = build()
+    gossip.unreachable = {"south-a"}
     assert names(part, notes, 0.0) == NAMES[:3]
-    spread.lost = {"north-a", "north-b", "south-a"}
+    gossip.unreachable = {"north-a", "north-b", "south-a"}
     assert names(part, notes, 0.0) == NAMES
 
 
@@ -140,15 +140,15 @@
     )
 
 
-def test_failures_in_a_row_eject_then_trials_then_back():
-    part, notes, spread, _ = build()
+def test_consecutive_failures_eject_and_successful_trials_end_it():
+    part, notes, gossip, _ = build()
     item = endpoint(notes, "encoder-3")
-    for _ in range(health.IN_A_ROW):
+    for _ in range(health.CONSECUTIVE_FAILURES):
         part.report(item, ok=False, now=1.0)
     assert "encoder-3" not in names(part, notes, 1.0)
-    assert spread.get(evidence.DOWN, "encoder-3")[2] == 1
+    assert gossip.get(outliers.DOWN, "encoder-3")[2] == 1
     now = 3.0
-    for _ in range(health.TRIALS):
+    for _ in range(health.TRIALS_TO_RETURN):
         assert "encoder-3" in names(part, notes, now)
         assert "encoder-3" not in names(part, notes, now)
         part.report(item, ok=True, now=now)
@@ -156,15 +156,15 @@
     assert "encoder-3" in names(part, notes, now)
 
 
-def test_word_of_a_peer_ejects_unless_own_calls_say_otherwise():
-    part, notes, spread, _ = build()
+def test_report_of_a_peer_ejects_unless_an_own_call_succeeded_recently():
+    part, notes, gossip, _ = build()
     part.report(endpoint(notes, "encoder-1"), ok=True, now=1.0)
     for name in ("encoder-1", "encoder-2"):
-        spread.put(evidence.DOWN, name, [5, "entry-2", 1], via="p", now=2.0)
+        gossip.put(outliers.DOWN, name, [5, "entry-2", 1], via="p", now=2.0)
     assert names(part, notes, 2.0) == ["encoder-1", "encoder-3", "encoder-4"]
 
 
-def test_slow_endpoint_is_ejected_by_reported_times():
+def test_slow_endpoint_is_ejected_by_call_times():
     part, notes, _, _ = build()
     for number in range(60):
         for name in NAMES:
--- a/sycamoreshed/membership/topics.py
+++ b/sycamoreshed/membership/topics.py
@@ -1,7 +1,7 @@
-"""What entry instances tell each other: topics of records.
+"""Topics of the records that entry instances gossip.
 
 A record has a topic, a key and a JSON value.  The topic's merge function
-decides which of two values of a key holds, so that the order in which
+decides which of two values of a key wins, so that the order in which
 messages arrive does not matter.
 """
 
@@ -15,18 +15,18 @@
 
 
 class Topic(typing.NamedTuple):
-    """How the records of one topic spread.
+    """Merge rule and distribution of one topic's records.
 
     Parameters
     ----------
     merge : callable
-        Takes the value held (or None) and one that came; returns the one
-        that holds.  Must be commutative, associative and idempotent, and
-        return the very object held when nothing is new.
+        Takes the stored value (or None) and a received one; returns the
+        one that wins.  Must be commutative, associative and idempotent,
+        and return the stored object itself when nothing changed.
     zone_only : bool
         Whether records stay within the zone.
     urgent : bool
-        Whether a change is sent at once instead of in the next round.
+        Whether a change is sent immediately instead of in the next round.
     """
 
     merge: typing.Callable
@@ -40,8 +40,8 @@
     Examples
     --------
     >>> @topic("doctest-largest")
-    ... def largest(held, came):
-    ...     return came if held is None or came > held else held
+    ... def largest(stored, received):
+    ...     return received if stored is None or received > stored else stored
     >>> TOPICS.get("doctest-largest").merge(3, 5)
     5
     """
@@ -53,8 +53,8 @@
     return decorate
 
 
-def newest(held, came):
-    """Merge lists whose first items are numbers that only grow."""
-    if held is None or came > held:
-        return came
-    return held
+def newest(stored, received):
+    """Keep the greater of two lists that start with an increasing number."""
+    if stored is None or received > stored:
+        return received
+    return stored
--- a/sycamoreshed/membership/view.py
+++ b/sycamoreshed/membership/view.py
@@ -1,9 +1,10 @@
-"""What one instance knows of the others: records, suspicions, beats.
+"""One instance's view of the others: records, suspicions, heartbeats.
 
-Within a zone an instance that does not answer is suspected, and objects
-with a higher generation if it lives.  Other zones are judged as a whole
-by a counter that each instance of a zone raises: a cut between zones
-would otherwise raise a suspicion against every instance behind it.
+Within a zone an instance that does not answer is suspected; if it is alive
+it refutes the suspicion with a higher generation.  Other zones are judged
+as a whole by a heartbeat counter that each instance of a zone increments:
+a partition between zones would otherwise cause a suspicion of every
+instance behind it.
 """
 
 from sycamoreshed.membership import members
@@ -12,63 +13,66 @@
 
 __all__ = ["View"]
 
-# Members long out of reach are forgotten, or replaced instances would
-# fill the memory; long, since regions lose each other for an hour.
-FORGET_S = 6 * 3600.0
-# Who is alive is asked many times a second; to go through 410 instances
-# takes most of a millisecond, and what it depends on moves by seconds.
-ALIVE_S = 0.25
+# Members that were not alive for this long are removed, or replaced instances
+# would fill the memory.  It is long because regions can lose contact with
+# each other for an hour.
+MEMBER_EXPIRY_S = 6 * 3600.0
+# `View.alive` is called many times a second.  Scanning 410 instances takes
+# most of a millisecond, and its inputs change on a scale of seconds.
+ALIVE_CACHE_S = 0.25
 
 
 class View:
-    """Records of all topics, and who is alive by them.
+    """Records of all topics, and the live members they imply.
 
     Parameters
     ----------
     settings : Settings
     generation : int
-        Milliseconds of the wall clock at the start.
+        Wall clock at the start of this process, in milliseconds.
     """
 
     def __init__(self, *, settings, generation):
         self._settings = settings
         self._records = records.Records()
         self._listeners = {}
-        self._suspected = {}
-        self._gone = {}
-        self._beats = {settings.zone: 0}
-        self._heard = {}
+        self._suspected_at = {}
+        self._not_alive_since = {}
+        self._heartbeats = {settings.zone: 0}
+        self._heartbeat_at = {}
         self._state = members.State.LIVE
         self._generation = generation
         self._known = None
         self._alive = None
-        self._alive_at = 0.0
-        self._tell_self()
+        self._alive_computed_at = 0.0
+        self._publish_self()
 
     @property
     def own(self):
-        """The own `Member` entry."""
+        """The `Member` entry of this instance."""
         return self.member(self._settings.instance)
 
     @property
     def last(self):
-        """Position of the last change of a record."""
+        """Position of the last record change."""
         return self._records.last
 
     @property
-    def beats(self):
-        """Counters by zone."""
-        return self._beats
+    def heartbeats(self):
+        """Heartbeat counters by zone."""
+        return self._heartbeats
 
     def on_record(self, topic, func, *, own=False):
-        """Call a function with key, value and time of each change.
+        """Register a callback for changes of a topic's records.
 
         Parameters
         ----------
         topic : str
         func : callable
+            Takes the key, the merged value and the time.
         own : bool
-            Whether for records put here too, not just those that come.
+            Whether to call it for local changes too, not only for records
+            received from peers.
         """
         self._listeners.setdefault(topic, []).append((func, own))
 
@@ -77,22 +81,22 @@
         return self._records.get(topic, key)
 
     def entries(self, topic):
-        """Return a topic's values by key; not to be changed."""
+        """Return a topic's values by key; callers must not modify it."""
         return self._records.entries(topic)
 
     def drop(self, topic, key):
-        """Forget a record here, such as one of a withdrawn endpoint."""
+        """Remove a record locally, such as one of a withdrawn endpoint."""
         self._records.drop(topic, key)
 
     def since(self, base, *, same_zone, to=None):
-        """Return what changed; see `Records.since`."""
+        """Return the records that changed; see `Records.since`."""
         return self._records.since(base, same_zone=same_zone, to=to)
 
     def put(self, topic, key, value, now, *, via=None):
-        """Merge a record; return whether it was new."""
+        """Merge a record; return whether it changed."""
         changed = self._records.merge(topic, key, value, via=via)
         if changed and topic == members.TOPIC:
-            self._changed()
+            self._invalidate()
         if changed:
             for func, own in self._listeners.get(topic, ()):
                 if own or via is not None:
@@ -100,30 +104,30 @@
         return changed
 
     def receive(self, topic, key, value, via, now):
-        """Take in a record of a peer.
+        """Merge a record received from a peer.
 
         Returns
         -------
         bool
-            Whether others should hear of it at once.
+            Whether to forward it to other peers immediately.
         """
         if topic not in topics.TOPICS.names():
-            # A newer release may tell what this one does not know.
+            # A peer of a newer release may send topics unknown here.
             return False
         if topic == members.TOPIC and key == self._settings.instance:
-            return self._object(value)
-        first = self._records.get(topic, key) is None
+            return self._refute(value)
+        is_first = self._records.get(topic, key) is None
         if not self.put(topic, key, value, now, via=via):
             return False
         if topic == members.TOPIC:
-            self._note_suspicion(key, value, first, now)
-            self._changed()
+            self._record_suspicion(key, value, is_first, now)
+            self._invalidate()
         return topics.TOPICS.get(topic).urgent
 
     def leave(self):
-        """Tell that this instance is leaving; it stays so."""
+        """Announce that this instance is leaving; this is final."""
         self._state = members.State.LEAVING
-        self._tell_self()
+        self._publish_self()
 
     def suspect(self, name, now):
         """Suspect a live instance of the own zone.
@@ -131,8 +135,9 @@
         Returns
         -------
         bool
-            Whether that is news.  Between zones it may be the link that
-            failed, so instances of other zones are never suspected.
+            Whether its record changed.  Between zones the link may have
+            failed instead, so instances of other zones are never
+            suspected.
         """
         member = self.member(name)
         if member is None or member.zone != self._settings.zone:
@@ -141,21 +146,21 @@
             return False
         value = list(member[:5])
         value[1] = int(members.State.SUSPECT)
-        self._suspected[name] = now
+        self._suspected_at[name] = now
         return self.put(members.TOPIC, name, value, now)
 
-    def beat(self):
-        """Raise the counter of the own zone."""
-        self._beats[self._settings.zone] += 1
+    def increment_heartbeat(self):
+        """Increment the heartbeat counter of the own zone."""
+        self._heartbeats[self._settings.zone] += 1
 
-    def merge_heartbeats(self, beats, now):
-        """Take in a peer's counters."""
-        for zone, beat in beats.items():
-            if beat > self._beats.get(zone, -1):
-                self._beats[zone] = beat
-                if zone not in self._heard:
+    def merge_heartbeats(self, heartbeats, now):
+        """Merge a peer's heartbeat counters by zone."""
+        for zone, counter in heartbeats.items():
+            if counter > self._heartbeats.get(zone, -1):
+                self._heartbeats[zone] = counter
+                if zone not in self._heartbeat_at:
                     self._alive = None
-                self._heard[zone] = now
+                self._heartbeat_at[zone] = now
 
     def member(self, name):
         """Return a `Member` or None."""
@@ -163,7 +168,7 @@
         return None if value is None else members.Member(*value, name=name)
 
     def known(self):
-        """Return all members ever heard of and not forgotten."""
+        """Return all members that have a record, alive or not."""
         if self._known is None:
             entries = self._records.entries(members.TOPIC)
             self._known = [
@@ -173,18 +178,22 @@
         return self._known
 
     def alive(self, now):
-        """Return the live members, the own one among them.
+        """Return the live members, including the own one.
 
         Notes
         -----
-        As of at most `ALIVE_S` ago, or of the last change.
+        The result is cached for up to `ALIVE_CACHE_S`, or until a member
+        record changes or a zone's first heartbeat arrives.
         """
-        if self._alive is None or now - self._alive_at > ALIVE_S:
-            self._alive_at = now
+        if (
+            self._alive is None
+            or now - self._alive_computed_at > ALIVE_CACHE_S
+        ):
+            self._alive_computed_at = now
             self._alive = members.alive(
                 self.known(),
-                suspected=self._suspected,
-                beats=self._heard,
+                suspected_at=self._suspected_at,
+                heartbeat_at=self._heartbeat_at,
                 own_zone=self._settings.zone,
                 now=now,
             )
@@ -196,40 +205,43 @@
         return [item for item in self.alive(now) if item.zone == zone]
 
     def partners(self, now, *, avoid):
-        """Return the names to exchange messages with."""
+        """Return the names of the peers to exchange messages with."""
         own = self.own
-        far = [
+        remote = [
             item
             for item in self.known()
             if item.zone != own.zone and item.state == members.State.LIVE
         ]
-        return members.partners(own, self.alive_in_zone(now), far, avoid=avoid)
+        return members.partners(
+            own, self.alive_in_zone(now), remote, avoid=avoid
+        )
 
-    def lost_zones(self, now):
-        """Return the zones that were heard of once and are silent now."""
+    def unreachable_zones(self, now):
+        """Return the other zones that sent heartbeats but have stopped."""
         return {
             zone
-            for zone, heard in self._heard.items()
-            if zone != self._settings.zone and now - heard > members.ZONE_S
+            for zone, heartbeat_at in self._heartbeat_at.items()
+            if zone != self._settings.zone
+            and now - heartbeat_at > members.ZONE_TIMEOUT_S
         }
 
-    def forget(self, now):
-        """Forget members long out of reach; return their names."""
+    def expire(self, now):
+        """Remove members not alive for `MEMBER_EXPIRY_S`; return names."""
         alive = {item.name for item in self.alive(now)}
-        forgotten = []
+        expired = []
         for name in [item.name for item in self.known()]:
             if name in alive:
-                self._gone.pop(name, None)
+                self._not_alive_since.pop(name, None)
                 continue
-            since = self._gone.setdefault(name, now)
-            if now - since > FORGET_S:
+            since = self._not_alive_since.setdefault(name, now)
+            if now - since > MEMBER_EXPIRY_S:
                 self._records.drop(members.TOPIC, name)
-                self._changed()
-                del self._gone[name]
-                forgotten.append(name)
-        return forgotten
+                self._invalidate()
+                del self._not_alive_since[name]
+                expired.append(name)
+        return expired
 
-    def _tell_self(self):
+    def _publish_self(self):
         settings = self._settings
         value = [
             self._generation,
@@ -239,26 +251,27 @@
             settings.region,
         ]
         self._records.merge(members.TOPIC, settings.instance, value)
-        self._changed()
+        self._invalidate()
 
-    def _changed(self):
+    def _invalidate(self):
         self._known = None
         self._alive = None
 
-    def _object(self, value):
-        """Raise the own generation over what is wrongly said of us."""
-        held = self._records.get(members.TOPIC, self._settings.instance)
-        if value[0] < held[0] or value == held:
+    def _refute(self, value):
+        """Refute a wrong record of this instance with a higher generation."""
+        stored = self._records.get(members.TOPIC, self._settings.instance)
+        if value[0] < stored[0] or value == stored:
             return False
         self._generation = value[0] + 1
-        self._tell_self()
+        self._publish_self()
         return True
 
-    def _note_suspicion(self, name, value, first, now):
+    def _record_suspicion(self, name, value, is_first, now):
         if value[1] != members.State.SUSPECT:
-            self._suspected.pop(name, None)
-        elif first:
-            # Suspected before we heard of it: it had its time to object.
-            self._suspected[name] = now - members.SUSPECT_S
+            self._suspected_at.pop(name, None)
+        elif is_first:
+            # The suspicion predates this first record of the member, so
+            # the member has already had the time to refute it.
+            self._suspected_at[name] = now - members.SUSPICION_TIMEOUT_S
         else:
-            self._suspected[name] = now
+            self._suspected_at[name] = now
