--- a/sycamoreshed/membership/gossip.py
+++ b/sycamoreshed/membership/gossip.py
@@ -1,7 +1,7 @@
 """Gossip protocol between entry instances.
 
 Each instance exchanges a small message with a few peers every `PERIOD_S`,
-and immediately when an urgent record changed.  A message carries the
+and shortly after an urgent record changed.  A message carries the
 records that changed since the receiver's last acknowledgement, and fields
 that other plug-ins add.
 """
@@ -26,21 +26,25 @@
 __all__ = ["Field", "Gossip"]
 
 PERIOD_S = 2.0
-# Cross-zone traffic is billed, so its period is longer; urgent changes are
-# still sent immediately.
+# Cross-zone traffic is billed, so its period is longer; urgent changes do
+# not wait for it.
 CROSS_ZONE_PERIOD_S = 4.0
 # Changes within this time are sent in one message.
 BATCH_DELAY_S = 0.03
 TIMEOUT_S = 1.0
-# An instance that does not answer is not chosen as a partner for this long.
+# Time a peer is not chosen as a partner after repeated failures, unless a
+# message from it arrives.
 AVOID_S = 5.0
-# Consecutive failed exchanges after which a peer is avoided and suspected.
+# Consecutive failed exchanges after which a peer is avoided and, in the own
+# zone, suspected.
 FAILURES_UNTIL_SUSPECT = 2
 RETRY_DELAY_S = 0.5
 RECONNECT_PERIOD_S = 3.0
-# Used while there are no partners; doubles up to the period above.  An
-# instance that starts before its seeds receives nothing until one of them
-# answers, and would become ready without the configuration in force.
+# First period after the start, used while there are no partners; doubles
+# with each attempt up to the period above and is not reset.  An instance that
+# starts before its seeds receives nothing until one of them answers.  It
+# waits for the configuration in force only up to a timeout, and would then
+# become ready without it.
 MIN_RECONNECT_PERIOD_S = 0.1
 
 
@@ -133,7 +137,7 @@
         self._view.on_record(topic, func, own=own)
 
     def wake(self):
-        """Start an exchange with each partner immediately."""
+        """Start an exchange with each partner after `BATCH_DELAY_S`."""
         for event in self._wake_events.values():
             event.set()
 
@@ -308,12 +312,13 @@
             self.wake()
 
     async def _reconnect(self, now):
-        """Contact one unreachable instance, so that partitions heal.
+        """Contact a random unreachable member or unknown address.
 
         Notes
         -----
-        After a partition within a zone each half considers the other
-        dead; if neither tried again, they would stay apart for ever.
+        This is how an instance joins and how partitions heal.  After a
+        partition within a zone each half considers the other dead; if
+        neither tried again, they would stay apart for ever.
         """
         alive = {item.name for item in self._view.alive(now)}
         known = self._view.known()
--- a/sycamoreshed/membership/health.py
+++ b/sycamoreshed/membership/health.py
@@ -1,9 +1,11 @@
 """Rules for ejecting endpoints that fail or are slow, and for their return.
 
-At the design size an instance sends an endpoint one call in ten seconds,
-too few to detect a gray failure alone.  So tallies of bad calls are pooled
-within a zone.  Three consecutive failures of own calls, or a prober's
-report that an endpoint does not answer, eject it immediately.
+An endpoint with a gray failure answers probes but fails some calls or is
+slow.  At the design size of 410 instances, each sends an endpoint one call
+in ten seconds, too few to detect a gray failure alone, so tallies of bad
+calls are pooled within a zone.  Three consecutive failures of own calls,
+failed probes, or a peer's report of either eject an endpoint immediately;
+a recent own success outweighs a peer's report.
 """
 
 import math
@@ -39,7 +41,7 @@
 MAX_EJECTION_S = 60.0
 # After this long in use, the next ejection takes the shortest time again.
 EJECTION_RESET_S = 120.0
-TRIAL_INTERVAL_S = 1.0
+TRIAL_TIMEOUT_S = 1.0
 TRIALS_TO_RETURN = 3
 MAX_EJECTED_SHARE = 0.5
 
@@ -71,7 +73,8 @@
     smoothed_s : float or None
         Smoothed time of successful calls.
     ejections : int
-        Number of recent ejections; each doubles the time of the next.
+        Number of ejections since the last reset, failed trials included;
+        each doubles the time of the next, up to `MAX_EJECTION_S`.
     ejected_until : float or None
         End of the ejection, after which the endpoint is on trial; None if
         it is in use.
@@ -188,7 +191,11 @@
 
 
 def eject(record, now):
-    """Return the record with an ejection, each twice as long as the last.
+    """Return the record with an ejection.
+
+    Notes
+    -----
+    Each is twice as long as the last, up to `MAX_EJECTION_S`.
 
     Examples
     --------
--- a/sycamoreshed/membership/listpoller.py
+++ b/sycamoreshed/membership/listpoller.py
@@ -1,4 +1,4 @@
-"""Polling of the platform's instance list, which lags.
+"""Polling of the platform's instance list, which may be outdated.
 
 The list names the leaving instances and endpoints, and gives the control
 addresses of entry instances.
@@ -25,8 +25,9 @@
 
     Notes
     -----
-    The list lags, and instances read it at different times.  An outdated
-    list has a lower generation, so that it revives no leaving instance.
+    The list lags, and instances read it at different times.  In an outdated
+    list the generation of an item, which is not that of a `Member`, is
+    lower or equal, so it revives no leaving instance or endpoint.
     """
     return topics.newest(stored, received)
 
@@ -50,7 +51,7 @@
         self._gossip = gossip
         self._clock = clock
         self.leaving = frozenset()
-        gossip.on_record(LISTED, self._refresh, own=True)
+        gossip.on_record(LISTED, self._update_leaving, own=True)
 
     async def run(self):
         """Poll the list periodically."""
@@ -97,7 +98,7 @@
             f"list {zone}", names, POLLERS_PER_ZONE
         )
 
-    def _refresh(self, _name, _value, _now):
+    def _update_leaving(self, _name, _value, _now):
         entries = self._gossip.entries(LISTED)
         self.leaving = frozenset(
             name for name, value in entries.items() if value[1]
--- a/sycamoreshed/membership/members.py
+++ b/sycamoreshed/membership/members.py
@@ -11,7 +11,7 @@
 TOPIC = "member"
 # Time a suspected instance has to refute the suspicion.
 SUSPICION_TIMEOUT_S = 4.0
-# A zone without a new heartbeat for this long is unreachable.
+# A zone whose last new heartbeat is older than this is unreachable.
 ZONE_TIMEOUT_S = 10.0
 DELEGATES = 2
 IN_ZONE_PARTNERS = 2
@@ -62,7 +62,9 @@
     Notes
     -----
     A late `LIVE` record has at most the generation of the `LEAVING`
-    record, which wins, so the instance is not revived.
+    record, which wins, so the instance is not revived.  Records of equal
+    generation and state are identical, as only the instance itself sets
+    the other fields.
     """
     if stored is None or tuple(received[:2]) > tuple(stored[:2]):
         return received
@@ -78,7 +80,8 @@
     suspected_at : dict of str to float
         Time of each suspicion by name, in monotonic seconds.
     heartbeat_at : dict of str to float
-        Time of the last new heartbeat by zone, in monotonic seconds.
+        Time of the last new heartbeat by zone, in monotonic seconds; in
+        other zones, members count as alive only if their zone has one.
     own_zone : str
     now : float
 
@@ -135,9 +138,10 @@
     -----
     Within a zone each instance is linked to the next by name, which forms
     a ring of all of them, and to one more by hash, which shortens the
-    paths.  Between two zones only `DELEGATES` of each exchange messages:
-    traffic between zones and regions is billed, and a change needs to
-    reach a zone only once.
+    paths.  Between two zones only `DELEGATES` instances of each start
+    exchanges, each with one instance of the other zone: traffic between
+    zones and regions is billed, and a change needs to reach a zone only
+    once.
     """
     names = [item.name for item in zone_members if item.name not in avoid]
     chosen = []
--- a/sycamoreshed/membership/membership.py
+++ b/sycamoreshed/membership/membership.py
@@ -76,15 +76,13 @@
         ]
 
     def exclude(self, func):
-        """Exclude the engines that a function names from new calls.
-
-        They get calls all the same if no other endpoint is left.
+        """Set the function that names engines to exclude from new calls.
 
         Parameters
         ----------
         func : callable
             Takes the current time, returns names of engines that are
-            loading.
+            loading; these get calls only if no other endpoint is left.
         """
         self._excluded = func
 
@@ -111,7 +109,7 @@
         )
 
     def report(self, endpoint, *, ok, now, seconds=None):
-        """Record the outcome of one call.
+        """Record the outcome of one call, unless the endpoint is withdrawn.
 
         Parameters
         ----------
--- a/sycamoreshed/membership/messages.py
+++ b/sycamoreshed/membership/messages.py
@@ -12,8 +12,8 @@
 __all__ = ["Message", "decode", "encode", "post"]
 
 PATH = "/control/gossip"
-# Header bytes of a request and of its response, as sent by this program;
-# counted so that the byte budget covers everything on the wire.
+# HTTP header bytes of a request and of its response, as sent by this program;
+# counted because the byte budget applies to the traffic on the wire.
 REQUEST_HEADER_BYTES = 135
 RESPONSE_HEADER_BYTES = 160
 SKIPPED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
@@ -24,8 +24,9 @@
 
     ``name``, ``boot`` and ``zone`` identify the sender and its process;
     ``base``, ``last`` and ``records`` are a delta of its records;
-    ``ack`` is the position up to which it has the receiver's records, of
-    the process ``of``; ``fields`` are added by plug-ins.
+    ``ack`` acknowledges the receiver's records up to this position, and is
+    valid only for the receiver's process whose boot is ``of``; ``fields``
+    are added by plug-ins.
     """
 
     name: str
--- a/sycamoreshed/membership/outliers.py
+++ b/sycamoreshed/membership/outliers.py
@@ -10,7 +10,7 @@
 DOWN = "endpoint-down"
 TALLY = "endpoint-tally"
 MIN_PUBLISH_INTERVAL_S = 2.0
-CHECK_INTERVAL_S = 0.25
+MIN_GRAY_CHECK_INTERVAL_S = 0.25
 # An own successful call this recent outweighs a peer's report.
 RECENT_SUCCESS_S = 3.0
 
@@ -75,6 +75,11 @@
         ok : bool
         seconds : float or None
         now : float
+
+        Notes
+        -----
+        During an ejection outcomes are ignored; after its end each counts
+        as that of a trial call.
         """
         name = endpoint.name
         record = self._records.get(name, health.EndpointHealth())
@@ -116,21 +121,33 @@
         return health.can_try(self._records[name], now)
 
     def start_trial(self, name, now):
-        """Delay further trial calls by `TRIAL_INTERVAL_S`."""
+        """Start a trial call.
+
+        Notes
+        -----
+        Until its outcome is known, no other trial call is due for
+        `TRIAL_TIMEOUT_S`.
+        """
         record = self._records[name]
         self._store(
-            name, record._replace(next_trial_at=now + health.TRIAL_INTERVAL_S)
+            name, record._replace(next_trial_at=now + health.TRIAL_TIMEOUT_S)
         )
 
     def report_down(self, name, down):
-        """Report to the zone that an endpoint is down, or up again."""
+        """Publish to the zone whether an endpoint is down.
+
+        Notes
+        -----
+        A report that it is up replaces the earlier one, but ends no
+        ejection.
+        """
         stored = self._gossip.get(DOWN, name)
         if bool(stored and stored[2]) != down:
             value = [int(self._wall() * 1000), self._instance, int(down)]
             self._gossip.put(DOWN, name, value)
 
     def retain(self, names):
-        """Remove the state of all endpoints except those named."""
+        """Remove the health state of all endpoints except those named."""
         for name in list(self._records):
             if name not in names:
                 del self._records[name]
@@ -200,8 +217,8 @@
         # The check scans all endpoints of the service, so its rate is
         # limited instead of running it for each bad call.
         if (
-            now - self._checked_at.get(name, -CHECK_INTERVAL_S)
-            < CHECK_INTERVAL_S
+            now - self._checked_at.get(name, -MIN_GRAY_CHECK_INTERVAL_S)
+            < MIN_GRAY_CHECK_INTERVAL_S
         ):
             return False
         self._checked_at[name] = now
--- a/sycamoreshed/membership/positions.py
+++ b/sycamoreshed/membership/positions.py
@@ -49,8 +49,9 @@
 
         Notes
         -----
-        A delta whose base is beyond the position received has a gap: the
-        position then stays, and the next message acknowledges it again.
+        A delta whose base is beyond `received` leaves a gap: its records
+        are merged, but `received` is not advanced, so the missing records
+        are not acknowledged.
         """
         name = message["name"]
         position = self._positions.get(name)
--- a/sycamoreshed/membership/records.py
+++ b/sycamoreshed/membership/records.py
@@ -6,7 +6,7 @@
 
 __all__ = ["Delta", "Records"]
 
-MAX_RECORDS = 500
+MAX_DELTA_RECORDS = 500
 
 
 class Delta(typing.NamedTuple):
@@ -84,14 +84,14 @@
         self._by_topic.get(topic, {}).pop(key, None)
 
     def since(self, base, *, same_zone, to=None):
-        """Return a `Delta` of at most `MAX_RECORDS`, oldest first.
+        """Return a `Delta` of at most `MAX_DELTA_RECORDS`, oldest first.
 
         Parameters
         ----------
         base : int
             Position up to which the receiver has all records.
         same_zone : bool
-            Whether to include records that must not leave the zone.
+            Whether to include records of zone-only topics.
         to : object, optional
             Identifies the receiving process.
         """
@@ -102,7 +102,7 @@
             if via is None or via != to:
                 changed.append((position, topic, key))
         changed.reverse()
-        batch = changed[:MAX_RECORDS]
+        batch = changed[:MAX_DELTA_RECORDS]
         last = batch[-1][0] if len(batch) < len(changed) else self._last
         items = [
             [topic, key, self.get(topic, key)]
--- a/sycamoreshed/membership/tests/test_discovery.py
+++ b/sycamoreshed/membership/tests/test_discovery.py
@@ -91,10 +91,11 @@
     assert discovered_at < sync.INITIAL_SYNC_TIMEOUT_S
 
 
-def test_instance_without_peers_retries_infrequently(monkeypatch):
+def test_instance_whose_seed_never_listens_retries_infrequently(monkeypatch):
     """The only seed never listens; retries must not be frequent."""
     discovered_at, calls = virtualtime.run(
         discover(monkeypatch, listens_at=1e9, seconds=60.0)
     )
     assert discovered_at is None
+    # The 8 allow for the short first periods.
     assert calls <= 60.0 / gossip.RECONNECT_PERIOD_S + 8
--- a/sycamoreshed/membership/tests/test_health.py
+++ b/sycamoreshed/membership/tests/test_health.py
@@ -47,7 +47,7 @@
 
 
 def test_few_calls_of_many_instances_are_pooled():
-    """At the design size each instance sends an endpoint few calls.
+    """With hundreds of instances each sends an endpoint few calls.
 
     Alone no instance could tell a gray failure from chance.
     """
--- a/sycamoreshed/membership/tests/test_members.py
+++ b/sycamoreshed/membership/tests/test_members.py
@@ -73,7 +73,7 @@
 
 def test_delta_has_the_changes_except_those_of_the_receiver():
     store = records.Records()
-    for number in range(records.MAX_RECORDS + 10):
+    for number in range(records.MAX_DELTA_RECORDS + 10):
         assert store.merge(members.TOPIC, f"e{number}", [1, 0, "a"])
     assert not store.merge(members.TOPIC, "e3", [1, 0, "a"])
     first = store.since(0, same_zone=True)
--- a/sycamoreshed/membership/topics.py
+++ b/sycamoreshed/membership/topics.py
@@ -24,9 +24,10 @@
         one that wins.  Must be commutative, associative and idempotent,
         and return the stored object itself when nothing changed.
     zone_only : bool
-        Whether records stay within the zone.
+        Whether records are kept from instances known to be in other zones.
     urgent : bool
-        Whether a change is sent immediately instead of in the next round.
+        Whether a change starts an exchange immediately instead of waiting
+        for the next periodic one.
     """
 
     merge: typing.Callable
--- a/sycamoreshed/membership/view.py
+++ b/sycamoreshed/membership/view.py
@@ -14,8 +14,8 @@
 __all__ = ["View"]
 
 # Members that were not alive for this long are removed, or replaced instances
-# would fill the memory.  It is long because regions can lose contact with
-# each other for an hour.
+# would fill the memory.  A partition between regions can last an hour and must
+# not remove their members.
 MEMBER_EXPIRY_S = 6 * 3600.0
 # `View.alive` is called many times a second.  Scanning 410 instances takes
 # most of a millisecond, and its inputs change on a scale of seconds.
