--- a/testkit/stagezone.py
+++ b/testkit/stagezone.py
@@ -102,7 +102,7 @@
         if now > item.deadline:
             return _Result(None, "late")
         size = self._sizes[item.stage]
-        if sum(self._stored.values()) + size > self._spec.room_bytes:
+        if sum(self._stored.values()) + size > self._spec.memory_bytes:
             return _Result(None, "room")
         handle = f"{self._name}/{item.request}/{item.stage}/{item.index}"
         self._stored[handle] = size
@@ -153,7 +153,7 @@
                 )
         self.coordinator = coordinator.Coordinator(
             zone="north-a",
-            services=self._service,
+            find_service=self._service,
             endpoints=self._endpoints_of,
             make_batcher=self._batcher,
             budget=budget.RetryBudget(ratio=0.2, slack=50, window_s=10),
@@ -192,7 +192,7 @@
         return batching.Batcher(
             service=service,
             endpoints=endpoints,
-            lookup=self._listed.get,
+            find_endpoint=self._listed.get,
             scheduler=scheduler,
             client=self,
             codec=_Codec(),
