--- a/sycamoreshed/admission/admission.py
+++ b/sycamoreshed/admission/admission.py
@@ -101,8 +101,8 @@
 
     def _queue_entry(self, request, gate, now):
         team = request.config.entry("teams", request.team) or {}
-        # A request that starts later would probably end late, and occupy
-        # a slot that another request could use in time.
+        # A request that starts after its start deadline would probably end
+        # late, and occupy a slot that another one could use in time.
         run_time_s = gate.run_time_estimate(request.pipeline).upper_bound(now)
         return fairqueue.Entry(
             request=request.id,
--- a/sycamoreshed/admission/budget.py
+++ b/sycamoreshed/admission/budget.py
@@ -4,7 +4,7 @@
 
 
 class RetryBudget:
-    """Token bucket that limits retries to a share of first attempts.
+    """Token bucket that limits retries and hedges to a share of the calls.
 
     Without it the retries for a failing stage multiply its traffic by two
     or three, which keeps it failing after the cause is gone.
@@ -35,7 +35,7 @@
 
     @property
     def tokens(self):
-        """Number of retries allowed now."""
+        """Number of tokens; each retry or hedge takes one."""
         return self._tokens
 
     def record_first_attempt(self):
@@ -43,7 +43,7 @@
         self._tokens = min(self._max_tokens, self._tokens + self._share)
 
     def try_spend(self):
-        """Take a token for one retry; return whether there was one."""
+        """Take a token for a retry or hedge; return whether there was one."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/sycamoreshed/admission/fairqueue.py
+++ b/sycamoreshed/admission/fairqueue.py
@@ -17,6 +17,7 @@
 __all__ = ["DISCIPLINES", "Entry", "Fifo", "WeightedFair"]
 
 DISCIPLINES = registry.Registry(kind="admission order")
+# Entries served between two removals of idle teams.
 SWEEP_INTERVAL = 256
 _get_rank = operator.attrgetter("rank")
 
@@ -96,8 +97,9 @@
 
     Notes
     -----
-    A team that used less than its share has a start tag equal to the
-    virtual time, so it is served before the backlog of any other team.
+    An entry of a team without a backlog gets the virtual time as start tag,
+    unless the team used more than its share, so it does not wait for the
+    backlogs of other teams.
     Only teams that wait or were served recently have state.  That of idle
     teams is removed regularly, so that they cost no memory.
 
@@ -177,7 +179,7 @@
         return longest.entries.pop()
 
     def count_ahead(self, team, weight):
-        """Return how many entries would be served before a new one."""
+        """Estimate how many entries precede a new one, last of its team."""
         own = self._teams.get(team)
         waiting = len(own.entries) if own else 0
         tag = max(own.tag if own else 0.0, self._virtual_time)
@@ -213,7 +215,7 @@
             heapq.heappush(self._heap, (team.tag, self._push_count, name))
 
     def _reset(self):
-        """Drop all state: with an empty queue, past service has no effect."""
+        """Drop all state: start tags matter only while entries wait."""
         self._teams.clear()
         self._heap.clear()
         self._virtual_time = 0.0
--- a/sycamoreshed/admission/gate.py
+++ b/sycamoreshed/admission/gate.py
@@ -22,7 +22,7 @@
     gate : Gate
     started_at : float
         Monotonic seconds.
-    deadline_s : float
+    time_limit_s : float
         Time limit of the pipeline.
     """
 
@@ -31,7 +31,7 @@
     pipeline: str
     gate: typing.Any
     started_at: float
-    deadline_s: float
+    time_limit_s: float
 
 
 class Gate:
@@ -69,7 +69,7 @@
         return self._run_times[pipeline]
 
     def rejection(self, entry, deadline, now):
-        """Return a failure if a new entry would end late, or None.
+        """Return a failure if a new entry is rejected on arrival, or None.
 
         Notes
         -----
@@ -87,8 +87,9 @@
                 kinds.Kind.HOPELESS, "less time left than it takes"
             )
         wait = self._expected_wait_s(entry, now)
-        # If a slot is free, a request that may end late delays no other,
-        # while a rejected one is certainly lost.
+        # The wait is zero if a slot is free: then a request that may end late
+        # delays no other, while a rejected one is certainly lost.  It is also
+        # zero if nothing was measured.
         if not wait or wait + times.upper_bound(now) <= slack:
             return None
         return kinds.Failure(
@@ -97,7 +98,7 @@
             retry_after=_retry_delay_s(wait),
         )
 
-    async def acquire(self, entry, deadline_s, now):
+    async def acquire(self, entry, time_limit_s, now):
         """Take a slot, waiting for one if necessary.
 
         Returns
@@ -105,29 +106,31 @@
         Ticket or Failure
         """
         if self._has_slot() and not self.waiting:
-            return self._start(entry, deadline_s, now)
+            return self._start(entry, time_limit_s, now)
         decision = asyncio.get_running_loop().create_future()
         entry = entry._replace(decision=decision)
         self._queue.add(entry)
         if len(self._queue) > self._max_waiting:
             self._evict(now)
-        return await self._wait(entry, deadline_s, now)
+        return await self._wait(entry, time_limit_s, now)
 
     def release(self, ticket, now):
         """Return a slot and start waiting requests."""
         seconds = now - ticket.started_at
         self._run_times[ticket.pipeline].add(seconds, now)
-        self.limiter.record_run(seconds, ticket.deadline_s, self.running, now)
+        self.limiter.record_run(
+            seconds, ticket.time_limit_s, self.running, now
+        )
         self.running -= 1
         self._start_waiting(now)
 
     def _has_slot(self):
         return self.running < int(self.limiter.limit)
 
-    def _start(self, entry, deadline_s, now):
+    def _start(self, entry, time_limit_s, now):
         self.running += 1
         return Ticket(
-            entry.request, entry.team, entry.pipeline, self, now, deadline_s
+            entry.request, entry.team, entry.pipeline, self, now, time_limit_s
         )
 
     def _start_waiting(self, now):
@@ -155,7 +158,7 @@
             return 0.0
         return (ahead + 1) * mean / max(1, int(self.limiter.limit))
 
-    async def _wait(self, entry, deadline_s, now):
+    async def _wait(self, entry, time_limit_s, now):
         """Wait for the decision on an entry, until its start deadline."""
         decision = entry.decision
         try:
@@ -178,7 +181,7 @@
             entry.pipeline,
             self,
             self._clock(),
-            deadline_s,
+            time_limit_s,
         )
 
     def _abandon(self, entry):
--- a/sycamoreshed/admission/limiters.py
+++ b/sycamoreshed/admission/limiters.py
@@ -1,10 +1,10 @@
 """Concurrency limits of an instance for the requests to one service.
 
-Each instance sees only its share of the traffic.  `Fixed` is the
-baseline.  `Adaptive` starts at `HEADROOM` times the instance's share of
-the endpoints' slots, and grows while requests finish well within their
-deadline, so that an instance with more than its share of the traffic is
-not restricted to that share.
+Each instance sees only a part of the traffic.  `Fixed` is the baseline.
+`Adaptive` starts at `HEADROOM` times an even share of the endpoints'
+slots.  While the limit is reached and requests finish well within their
+deadline, it grows up to `HEADROOM` times all slots, so that an instance
+that gets more of the traffic is not restricted to the even share.
 """
 
 from sycamoreshed.kernel import registry
@@ -30,7 +30,7 @@
     def resize(self, slots, instances):
         """Do nothing: the limit is constant."""
 
-    def record_run(self, seconds, deadline_s, running, now):
+    def record_run(self, seconds, time_limit_s, running, now):
         """Do nothing: the limit is constant."""
 
 
@@ -59,20 +59,20 @@
             self._slots = slots
             self.limit = min(self._max_limit, initial_limit)
 
-    def record_run(self, seconds, deadline_s, running, now):
+    def record_run(self, seconds, time_limit_s, running, now):
         """Adjust the limit by the duration of a request.
 
         Parameters
         ----------
         seconds : float
-        deadline_s : float
+        time_limit_s : float
             Time limit of the pipeline.
         running : int
             Requests that were running when it ended, including itself.
         now : float
             Monotonic seconds.
         """
-        if seconds > deadline_s * MAX_RUN_FRACTION:
+        if seconds > time_limit_s * MAX_RUN_FRACTION:
             # Requests that started before the last decrease cause no
             # further one: otherwise those that ran at the same time would
             # together bring the limit down to its minimum at once.
--- a/sycamoreshed/admission/limits.py
+++ b/sycamoreshed/admission/limits.py
@@ -10,7 +10,7 @@
 __all__ = ["Limits"]
 
 STEP_INTERVAL_S = 1.0
-DEMAND_WEIGHT = 0.5
+DEMAND_SMOOTHING = 0.5
 # Minimum capacity of a bucket, so that the first few requests of a team with
 # a small share at this instance are not rejected.
 MIN_BURST = 4.0
@@ -156,10 +156,10 @@
         self._stepped_at = now
         decay = 0.5 ** (seconds / PEAK_HALF_LIFE_S)
         self._peak_live = max(self._live_count(now), self._peak_live * decay)
-        self._drop_expired(now)
+        self._drop_stale_state(now)
         for bucket in self._buckets.values():
             rate = bucket.count / seconds
-            bucket.demand += DEMAND_WEIGHT * (rate - bucket.demand)
+            bucket.demand += DEMAND_SMOOTHING * (rate - bucket.demand)
             bucket.count = 0
         self._publish_demand(now)
         for team, bucket in self._buckets.items():
@@ -169,7 +169,7 @@
                 self._demand_view(team, now, bucket.rate)
             )
 
-    def _drop_expired(self, now):
+    def _drop_stale_state(self, now):
         validity_s = max(
             MIN_VALIDITY_S,
             3 * _min_interval_s(self._live_count(now), MAX_PUBLISHED_TEAMS),
@@ -197,25 +197,25 @@
         )
 
     def _publish_demand(self, now):
-        """Publish the demand of teams above the minimum even share."""
-        hot = {}
+        """Publish the demand of the most active teams, if changed or old."""
+        demand = {}
         live = self._live_count(now)
         for team, bucket in self._buckets.items():
             if bucket.demand * live > shares.MIN_EVEN_FRACTION * bucket.rate:
-                hot[team] = float(f"{bucket.demand:.3g}")
-        if len(hot) > MAX_PUBLISHED_TEAMS:
-            top = sorted(hot, key=self._demand_ratio, reverse=True)[
+                demand[team] = float(f"{bucket.demand:.3g}")
+        if len(demand) > MAX_PUBLISHED_TEAMS:
+            top = sorted(demand, key=self._demand_ratio, reverse=True)[
                 :MAX_PUBLISHED_TEAMS
             ]
-            hot = {team: hot[team] for team in top}
+            demand = {team: demand[team] for team in top}
         elapsed_s = now - self._published_at
-        if elapsed_s < _min_interval_s(live, len(hot)):
+        if elapsed_s < _min_interval_s(live, len(demand)):
             return
         is_old = elapsed_s >= REPUBLISH_INTERVAL_S
-        if (hot and is_old) or _has_changed(hot, self._published):
-            self._published = hot
+        if (demand and is_old) or _has_changed(demand, self._published):
+            self._published = demand
             self._published_at = now
-            self._publish(hot)
+            self._publish(demand)
 
     def _demand_ratio(self, team):
         bucket = self._buckets[team]
@@ -227,8 +227,8 @@
 
     Notes
     -----
-    If 410 instances published 16 teams each at every change, each instance
-    would receive about 180 KB/s, thirty times what control traffic may
+    Without it, 410 instances that publish 16 teams every second would send
+    each instance about 180 KB/s, thirty times what control traffic may
     cost, and gossip would fill the links.
     """
     return (
--- a/sycamoreshed/admission/shares.py
+++ b/sycamoreshed/admission/shares.py
@@ -15,12 +15,13 @@
     "MIN_EVEN_FRACTION",
     "TOPIC",
     "local_share",
-    "reachable_share",
+    "group_share",
 ]
 
 TOPIC = "demand"
-# The shares of all instances sum to at most this, however a network
-# partition divides the instances.
+# Bound on the sum of all shares, however a network partition divides the
+# instances.  It holds while the members of each group use the same demand and
+# `peak_live` counts all instances.
 MAX_TOTAL_SHARE = 2.0
 # At least this fraction of a limit is divided evenly, for instances that have
 # no demand yet.
@@ -42,7 +43,8 @@
         Demand this instance published last, in requests per second; zero
         for none.
     others : tuple of float
-        Latest demand that other instances published and that still holds.
+        Latest demand that other instances published and that has not
+        expired.
     rate : float
         The limit, or zero to ignore it.  The part that is not demanded is
         divided evenly; otherwise an instance that gets a team's first
@@ -56,13 +58,15 @@
     rate: float = 0.0
 
 
-def reachable_share(live, peak_live):
-    """Return the share of a limit that the live instances may use.
+def group_share(live, peak_live):
+    """Return the share of a limit that a group of instances may use.
 
     Parameters
     ----------
     live : int
+        Number of instances in the group.
     peak_live : float
+        Recent maximum of the number of live instances.
 
     Returns
     -------
@@ -77,7 +81,7 @@
 
     Examples
     --------
-    >>> reachable_share(9, 9), reachable_share(6, 9), reachable_share(3, 9)
+    >>> group_share(9, 9), group_share(6, 9), group_share(3, 9)
     (1.0, 1.0, 0.6666666666666666)
     """
     return min(1.0, MAX_TOTAL_SHARE * live / max(live, peak_live))
@@ -96,7 +100,7 @@
     even_share = 1.0 / view.live
     total = view.own + sum(view.others)
     if not total:
-        return reachable_share(view.live, view.peak_live) * even_share
+        return group_share(view.live, view.peak_live) * even_share
     demand_fraction = 1.0 - MIN_EVEN_FRACTION
     if view.rate:
         demand_fraction = min(demand_fraction, total / view.rate)
@@ -104,4 +108,4 @@
         demand_fraction * view.own / total
         + (1.0 - demand_fraction) * even_share
     )
-    return reachable_share(view.live, view.peak_live) * weighted
+    return group_share(view.live, view.peak_live) * weighted
--- a/sycamoreshed/routing/affinity.py
+++ b/sycamoreshed/routing/affinity.py
@@ -40,8 +40,9 @@
     Notes
     -----
     This needs no coordination, and removing an endpoint moves only its own
-    keys.  The second endpoint serves when the first is fully loaded; if
-    any other one served then, the key would end up in all caches.
+    keys.  The second endpoint is the preferred alternative when the first
+    is loaded; with any endpoint as alternative, the key would end up in all
+    caches.
     """
     key_hash = _hash(key)
     hashes = _name_hashes
--- a/sycamoreshed/routing/estimates.py
+++ b/sycamoreshed/routing/estimates.py
@@ -2,9 +2,9 @@
 
 __all__ = ["Estimate"]
 
-RISE_WEIGHT = 0.1
-FALL_WEIGHT = 0.3
-DEVIATION_WEIGHT = 0.1
+RISE_SMOOTHING = 0.1
+FALL_SMOOTHING = 0.3
+DEVIATION_SMOOTHING = 0.1
 STALE_AFTER_S = 2.0
 HALF_LIFE_S = 2.0
 
@@ -47,32 +47,32 @@
             self._deviation = seconds / 4
             return
         error = seconds - self._mean
-        self._mean += (RISE_WEIGHT if error > 0 else FALL_WEIGHT) * error
-        self._deviation += DEVIATION_WEIGHT * (abs(error) - self._deviation)
+        self._mean += (RISE_SMOOTHING if error > 0 else FALL_SMOOTHING) * error
+        self._deviation += DEVIATION_SMOOTHING * (abs(error) - self._deviation)
 
     def mean(self, now, *, decayed=True):
         """Return the mean in seconds, or None without a measurement."""
         if self._mean is None or not decayed:
             return self._mean
-        return self._mean * self.weight(now)
+        return self._mean * self.decay_factor(now)
 
     def lower_bound(self, now):
-        """Return a bound that few durations are below, or zero."""
+        """Return a low estimate, the mean minus its deviation, or zero."""
         if self._mean is None:
             return 0.0
-        return max(0.0, self._mean - self._deviation) * self.weight(now)
+        return max(0.0, self._mean - self._deviation) * self.decay_factor(now)
 
     def upper_bound(self, now):
-        """Return a bound that few durations exceed, or zero."""
+        """Return a high estimate, the mean plus two deviations, or zero."""
         if self._mean is None:
             return 0.0
-        return (self._mean + 2 * self._deviation) * self.weight(now)
+        return (self._mean + 2 * self._deviation) * self.decay_factor(now)
 
     def outlier_threshold(self):
         """Return a bound that hardly any duration exceeds, without decay."""
         return self._mean + max(self._mean, 4 * self._deviation)
 
-    def weight(self, now):
+    def decay_factor(self, now):
         """Return the factor by which age reduces the estimate, at most one."""
         age_s = now - self._at - STALE_AFTER_S
         if age_s <= 0:
--- a/sycamoreshed/routing/loads.py
+++ b/sycamoreshed/routing/loads.py
@@ -9,13 +9,13 @@
 __all__ = ["Loads", "NO_REPORTS"]
 
 MAX_REPORT_AGE_S = 10.0
-SERVICE_LOAD_WEIGHT = 0.1
-BYTES_WEIGHT = 0.1
+SERVICE_LOAD_SMOOTHING = 0.1
+BYTES_SMOOTHING = 0.1
 SLOW_RATIO = 1.5
-# A hedge after a shorter delay saves nothing.  With fewer measurements it is
-# unclear which delay is unusual: a pause of the machine would double the
-# traffic.
+# A hedge after a shorter delay saves nothing.
 MIN_HEDGE_DELAY_S = 0.1
+# Measurements required for any hedge.  With fewer it is unclear which delay is
+# unusual: a pause of the machine would double the traffic.
 MIN_MEASUREMENTS = 10
 # Relative increase of a call's time when all slots are in use.  It also makes
 # the least loaded of the endpoints that have a free slot preferable.
@@ -37,8 +37,9 @@
     Parameters
     ----------
     reports : callable, optional
-        Returns reports by endpoint name: a dictionary with ``running``
-        and ``waiting``, and the monotonic time of the measurement.
+        Returns a pair by endpoint name: a dictionary with ``running``,
+        ``waiting`` and ``adapters``, each optional, and the monotonic time
+        at which they were measured.
     hedging : bool
         Whether a second call may be sent while a slow one is pending.
     """
@@ -78,20 +79,20 @@
             longer, so it counts only if it was slow already.
         """
         load_factor = max(1.0, self.utilization(endpoint, now))
-        unloaded_s = seconds / load_factor
+        base_s = seconds / load_factor
         name = endpoint.name
-        if not completed and unloaded_s < (
-            self._unloaded_time_s(endpoint, now) or 0.0
+        if not completed and base_s < (
+            self._base_time_s(endpoint, now) or 0.0
         ):
             return
         if name not in self._endpoint_times:
             self._endpoint_times[name] = estimates.Estimate()
-        self._endpoint_times[name].add(unloaded_s, now)
+        self._endpoint_times[name].add(base_s, now)
         if completed:
             service = endpoint.service
             if service not in self._service_times:
                 self._service_times[service] = estimates.Estimate()
-            self._service_times[service].add(unloaded_s, now)
+            self._service_times[service].add(base_s, now)
 
     def observe_first_output(self, endpoint, seconds, now):
         """Add the time to the first chunk of a stream or a unary answer."""
@@ -114,7 +115,7 @@
     def observe_bytes(self, stage, call_bytes):
         """Add the bytes that a call of a stage sent and received."""
         old = self._call_bytes.get(stage, call_bytes)
-        self._call_bytes[stage] = old + BYTES_WEIGHT * (call_bytes - old)
+        self._call_bytes[stage] = old + BYTES_SMOOTHING * (call_bytes - old)
 
     def expected_bytes(self, stage):
         """Return the bytes a call of a stage is expected to transfer."""
@@ -144,11 +145,11 @@
 
     def expected_time_s(self, endpoint, now):
         """Return the seconds that one more call is expected to take."""
-        unloaded_s = self._unloaded_time_s(endpoint, now)
-        if unloaded_s is None:
-            unloaded_s = INITIAL_CALL_TIME_S
+        base_s = self._base_time_s(endpoint, now)
+        if base_s is None:
+            base_s = INITIAL_CALL_TIME_S
         load = self.utilization(endpoint, now) + 1.0 / endpoint.slots
-        return unloaded_s * (
+        return base_s * (
             1.0 + FULL_LOAD_SLOWDOWN * load + max(0.0, load - 1.0)
         )
 
@@ -164,7 +165,7 @@
                 del cache[name]
 
     def _others(self, endpoint, report, own):
-        """Return the load by other callers in a report."""
+        """Return the load by others; a new report updates the average too."""
         body, measured_at = report
         reported = self._reported_loads.get(endpoint.name)
         if reported is None or reported.measured_at != measured_at:
@@ -173,7 +174,7 @@
             reported = _ReportedLoad(measured_at, others)
             self._reported_loads[endpoint.name] = reported
             service_load = self._service_loads.get(endpoint.service, others)
-            service_load += SERVICE_LOAD_WEIGHT * (others - service_load)
+            service_load += SERVICE_LOAD_SMOOTHING * (others - service_load)
             self._service_loads[endpoint.service] = service_load
         return reported.others
 
@@ -181,11 +182,14 @@
         times = self._service_times.get(service)
         return times.mean(now, decayed=False) if times else INITIAL_CALL_TIME_S
 
-    def _unloaded_time_s(self, endpoint, now):
-        """Return the time of a call without load, or None if unmeasured.
+    def _base_time_s(self, endpoint, now):
+        """Return the time of a call at low load, or None if unmeasured.
 
         Notes
         -----
+        Measured times are corrected for utilization above one only.  Unless
+        an endpoint is clearly slower, it gets the mean of its service.
+
         An endpoint that was measured as slow gets no calls, so it would
         never be measured again.  Therefore its estimate approaches that of
         its service with age.
@@ -202,5 +206,5 @@
             # Smaller differences are noise; following them would send all
             # callers to the endpoint with the luckiest recent calls.
             return service_mean
-        log_ratio = math.log(own / service_mean) * times.weight(now)
+        log_ratio = math.log(own / service_mean) * times.decay_factor(now)
         return service_mean * math.exp(log_ratio)
--- a/sycamoreshed/routing/policies.py
+++ b/sycamoreshed/routing/policies.py
@@ -21,7 +21,7 @@
 PREFERENCE_SAVINGS = (CACHED_SAVING, CACHED_SAVING / 2)
 # Factor on a call's time if the endpoint has to load the adapter first.
 COLD_ADAPTER_FACTOR = 1.5
-MIN_BUDGET_S = 0.001
+MIN_REMAINING_S = 0.001
 
 
 class RoutingContext(typing.NamedTuple):
@@ -52,7 +52,7 @@
     region: str
     prefix: str | None
     loads: typing.Any
-    budget_s: float = 1.0
+    remaining_s: float = 1.0
     transfer_bytes: float = 0.0
     prices: tariffs.Prices = tariffs.Prices(10.0, 1.0)
     adapter: str | None = None
@@ -140,7 +140,7 @@
     avoid the crossing.
     """
     seconds = context.loads.expected_time_s(near[0], now)
-    fraction = seconds / max(context.budget_s, MIN_BUDGET_S)
+    fraction = seconds / max(context.remaining_s, MIN_REMAINING_S)
     saved = fraction * fraction * (1.0 - (1.0 - CACHED_SAVING) ** 2)
     return _crossing_cost(context) > context.prices.attainment * saved
 
@@ -176,5 +176,5 @@
         cost = _crossing_cost(context)
     elif endpoint.zone != context.zone:
         seconds += ZONE_ROUND_TRIP_S
-    fraction = seconds / max(context.budget_s, MIN_BUDGET_S)
+    fraction = seconds / max(context.remaining_s, MIN_REMAINING_S)
     return cost + context.prices.attainment * fraction * fraction
--- a/sycamoreshed/routing/prefixes.py
+++ b/sycamoreshed/routing/prefixes.py
@@ -5,7 +5,7 @@
 __all__ = ["PrefixHistory"]
 
 MAX_PREFIXES = 4096
-SHARE_WEIGHT = 0.02
+REPEAT_SHARE_SMOOTHING = 0.02
 
 
 class PrefixHistory:
@@ -39,7 +39,9 @@
         """
         is_repeated = prefix in self._recent
         probability = 1.0 if is_repeated else self._repeat_share
-        self._repeat_share += SHARE_WEIGHT * (is_repeated - self._repeat_share)
+        self._repeat_share += REPEAT_SHARE_SMOOTHING * (
+            is_repeated - self._repeat_share
+        )
         self._recent[prefix] = True
         self._recent.move_to_end(prefix)
         if len(self._recent) > self._max_prefixes:
--- a/sycamoreshed/routing/router.py
+++ b/sycamoreshed/routing/router.py
@@ -99,6 +99,7 @@
 
     def _context(self, request, stage, now, prefix):
         self._decision_count += 1
+        # An hour in the tariff replaces the time of day.
         hour = self._tariff.get("hour")
         if hour is None:
             hour = self._hour()
@@ -107,7 +108,7 @@
             region=self._settings.region,
             prefix=prefix,
             loads=self.loads,
-            budget_s=request.deadline - now,
+            remaining_s=request.deadline - now,
             transfer_bytes=self.loads.expected_bytes(stage["name"]),
             prices=tariffs.prices_at(self._tariff, hour),
             adapter=stage.get("adapter"),
--- a/sycamoreshed/routing/tests/test_policies.py
+++ b/sycamoreshed/routing/tests/test_policies.py
@@ -87,7 +87,7 @@
 def test_prefix_keeps_its_engine_until_that_is_loaded():
     """A popular prompt prefix must not overload its preferred engine."""
     load_state = loads.Loads()
-    context = make_context(load_state, prefix="dossier", budget_s=3.0)
+    context = make_context(load_state, prefix="dossier", remaining_s=3.0)
     (first,) = count_choices(context)
     for _ in range(first.slots * 3):
         load_state.record_start(first)
@@ -101,7 +101,7 @@
         load_state,
         prices=EXPENSIVE_CROSSING,
         transfer_bytes=20_000.0,
-        budget_s=3.0,
+        remaining_s=3.0,
     )
     assert {item.zone for item in count_choices(expensive)} == {"north-a"}
     for item in same_region:
@@ -118,7 +118,7 @@
     for item in remaining:
         load_state.observe_time(item, 0.1, 0.0, completed=True)
     load_state.observe_time(slow, 1.0, 0.0, completed=True)
-    context = make_context(load_state, budget_s=3.0)
+    context = make_context(load_state, remaining_s=3.0)
     candidates = [slow, *remaining]
     assert count_choices(context, candidates)[slow] == 0
     times = [
@@ -135,7 +135,7 @@
         for index, item in enumerate(FLEET)
     }
     load_state = loads.Loads(reports=lambda: reports)
-    context = make_context(load_state, adapter="festival", budget_s=3.0)
+    context = make_context(load_state, adapter="festival", remaining_s=3.0)
     assert set(count_choices(context, FLEET[:2])) == {FLEET[1]}
 
 
@@ -178,7 +178,7 @@
     """Prompts without common prefixes must not be routed by their hash."""
     load_state = loads.Loads()
     identical = [make_endpoint(number) for number in range(2)]
-    context = make_context(load_state, prefix="dossier", budget_s=3.0)
+    context = make_context(load_state, prefix="dossier", remaining_s=3.0)
     preferred, *_ = affinity.preferred_endpoints(identical, "/dossier")
     assert set(count_choices(context, identical)) == {preferred}
     uncached = context._replace(cache_probability=0.0)
@@ -197,7 +197,7 @@
         == "south"
     )
     cheap = make_context(
-        load_state, prefix=key, budget_s=2.0, prices=FREE_CROSSING
+        load_state, prefix=key, remaining_s=2.0, prices=FREE_CROSSING
     )
     assert {item.region for item in count_choices(cheap)} == {"south"}
     expensive = cheap._replace(
