--- a/sycamoreshed/admission/limits.py
+++ b/sycamoreshed/admission/limits.py
@@ -228,8 +228,8 @@
     Notes
     -----
     Without it, 410 instances that publish 16 teams every second would send
-    each instance about 180 KB/s, thirty times what control traffic may
-    cost, and gossip would fill the links.
+    each instance about 180 KB/s, thirty times the 6 KB/s that the control
+    traffic of an instance may use, and gossip would fill the links.
     """
     return (
         live * (RECORD_BYTES + TEAM_BYTES * teams) / MAX_RECEIVED_BYTES_PER_S
