--- a/sycamoreshed/adapters/endpoints.py
+++ b/sycamoreshed/adapters/endpoints.py
@@ -13,9 +13,9 @@
 from sycamoreshed.adapters import web
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import kernel
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 
-__all__ = ["Call", "Chunk", "Endpoints", "StageAnswer", "cancel_quietly"]
+__all__ = ["Call", "Chunk", "Endpoints", "StageAnswer", "cancel_in_background"]
 
 CANCEL_TIMEOUT_S = 1.0
 BUSY = 429
@@ -162,20 +162,20 @@
             async with contextlib.AsyncExitStack() as stack:
                 # One limit around the whole would also end what whoever
                 # reads the stream does between two chunks.
-                async with limits.limit(timeout):
+                async with timeouts.time_limit(timeout):
                     response = await stack.enter_async_context(
                         self._session.post(
                             web.url_of(endpoint.address, "/generate"),
                             data=data,
                             headers=web.JSON_HEADERS,
-                            timeout=web.within(None),
+                            timeout=web.client_timeout(None),
                         )
                     )
                 if response.status != 200:
                     yield _status_failure(response.status)
                     return
                 while True:
-                    async with limits.limit(end - loop.time()):
+                    async with timeouts.time_limit(end - loop.time()):
                         line = await response.content.readline()
                     if not line:
                         break
@@ -187,7 +187,7 @@
                         yield chunk._replace(size=size)
                         return
                     yield chunk
-        except web.NOT_SENT as err:
+        except web.NOT_SENT_ERRORS as err:
             yield kinds.Failure(kinds.Kind.REFUSED, web.describe(err))
             return
         except TimeoutError:
@@ -195,7 +195,7 @@
                 kinds.Kind.LATE, "stream not whole in time", sent=True
             )
             return
-        except (*web.ERRORS, msgspec.DecodeError, ValueError) as err:
+        except (*web.TRANSPORT_ERRORS, msgspec.DecodeError, ValueError) as err:
             # A line that is cut off, is no JSON or is too long.
             yield kinds.Failure(
                 kinds.Kind.BROKEN_STREAM, web.describe(err), sent=True
@@ -238,7 +238,7 @@
             return kinds.Failure(kinds.Kind.REFUSED, f"{reply.status}")
         return reply.body
 
-    async def ask(self, endpoint, method, path, *, timeout, body=None):
+    async def request(self, endpoint, method, path, *, timeout, body=None):
         """Send a request that is no stage call: load, state, orders.
 
         Returns
@@ -297,7 +297,7 @@
     )
 
 
-async def cancel_quietly(client, endpoint, call):
+async def cancel_in_background(client, endpoint, call):
     """Begin to cancel a call; neither wait for it nor fail with it.
 
     Notes
--- a/sycamoreshed/adapters/engines.py
+++ b/sycamoreshed/adapters/engines.py
@@ -11,7 +11,7 @@
 from sycamoreshed.adapters import web
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import kernel
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 
 __all__ = ["Engines", "Order", "Outdated", "State", "Target"]
 
@@ -92,7 +92,7 @@
             return reply
         return _checked(reply, State)
 
-    async def order(self, endpoint, order, *, timeout, allowed):
+    async def send_order(self, endpoint, order, *, timeout, is_allowed):
         """Send an order.
 
         Parameters
@@ -101,7 +101,7 @@
         order : Order
         timeout : float
             Seconds.
-        allowed : callable
+        is_allowed : callable
             Without arguments; asked when the body is about to leave.
 
         Returns
@@ -122,30 +122,30 @@
 
         async def body():
             nonlocal lapsed
-            if not allowed():
+            if not is_allowed():
                 lapsed = True
                 raise OSError("the lease lapsed before the order left")
             yield msgspec.json.encode(order)
 
         try:
             async with (
-                limits.limit(timeout),
+                timeouts.time_limit(timeout),
                 self._session.post(
                     f"http://{endpoint.address}/orders",
                     data=body(),
                     headers=web.JSON_HEADERS,
-                    timeout=web.within(None),
+                    timeout=web.client_timeout(None),
                     allow_redirects=False,
                 ) as response,
             ):
                 raw = await response.read()
-        except web.NOT_SENT as err:
+        except web.NOT_SENT_ERRORS as err:
             return kinds.Failure(kinds.Kind.REFUSED, web.describe(err))
         except TimeoutError:
             return kinds.Failure(
                 kinds.Kind.LATE, "no answer in time", sent=True
             )
-        except web.ERRORS as err:
+        except web.TRANSPORT_ERRORS as err:
             reason = web.describe(err)
             if lapsed:
                 return kinds.Failure(kinds.Kind.LEASE_LOST, reason)
--- a/sycamoreshed/adapters/instancelist.py
+++ b/sycamoreshed/adapters/instancelist.py
@@ -8,10 +8,10 @@
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import kernel
 
-__all__ = ["InstanceList", "Listed"]
+__all__ = ["InstanceList", "ListedInstance"]
 
 
-class Listed(typing.NamedTuple):
+class ListedInstance(typing.NamedTuple):
     """An instance as the platform lists it.
 
     Parameters
@@ -56,7 +56,7 @@
 
         Returns
         -------
-        list of Listed, or Failure
+        list of ListedInstance, or Failure
             Of kind ``store-away``, also for what is no list.
         """
         reply = await web.fetch(
@@ -76,7 +76,7 @@
             answer = msgspec.convert(reply.body, _Answer)
         except msgspec.ValidationError as err:
             return kinds.Failure(kinds.Kind.STORE_AWAY, str(err))
-        return [Listed(**item) for item in answer["instances"]]
+        return [ListedInstance(**item) for item in answer["instances"]]
 
 
 @kernel.plugin("instance_list", needs=("web",))
--- a/sycamoreshed/adapters/tests/test_endpoints.py
+++ b/sycamoreshed/adapters/tests/test_endpoints.py
@@ -140,7 +140,7 @@
 @pytest.mark.parametrize("connects", [False, None])
 async def test_no_connection_means_not_sent(connects, monkeypatch):
     """An endpoint is gone, or cut off so that nothing comes back."""
-    monkeypatch.setattr(web, "CONNECT_S", 0.2)
+    monkeypatch.setattr(web, "CONNECT_TIMEOUT_S", 0.2)
     with contextlib.ExitStack() as stack:
         server = stack.enter_context(socket.socket())
         server.bind(("127.0.0.1", 0))
@@ -165,8 +165,8 @@
 
 async def test_cancel_reaches_the_endpoint():
     async with client_of("pool", {}) as (client, endpoint):
-        await endpoints.cancel_quietly(client, endpoint, new_call(1))
+        await endpoints.cancel_in_background(client, endpoint, new_call(1))
         while endpoints._cancels:
             await endpoints.asyncio.sleep(0.01)
-        counts = await client.ask(endpoint, "GET", "/counts", timeout=5)
+        counts = await client.request(endpoint, "GET", "/counts", timeout=5)
     assert counts.body["cancelled"] == 1
--- a/sycamoreshed/adapters/tests/test_engines.py
+++ b/sycamoreshed/adapters/tests/test_engines.py
@@ -43,8 +43,8 @@
 
 
 async def _order(client, endpoint, order=ORDER, *, allowed=True, timeout=0.3):
-    result = await client.order(
-        endpoint, order, timeout=timeout, allowed=lambda: allowed
+    result = await client.send_order(
+        endpoint, order, timeout=timeout, is_allowed=lambda: allowed
     )
     if isinstance(result, kinds.Failure):
         return result.kind, result.sent
--- a/sycamoreshed/adapters/tests/test_instancelist.py
+++ b/sycamoreshed/adapters/tests/test_instancelist.py
@@ -14,7 +14,7 @@
     "state": "leaving",
     "generation": 7,
 }
-LISTED = [instancelist.Listed(**ITEM)]
+LISTED = [instancelist.ListedInstance(**ITEM)]
 # Faults of the proxy and of the stand-in, the lag, and what is read.
 FAULTS = {
     "none": ({}, {}, 0.0, LISTED),
--- a/sycamoreshed/adapters/tests/test_pauses.py
+++ b/sycamoreshed/adapters/tests/test_pauses.py
@@ -70,11 +70,11 @@
             session=session,
             traffic=metrics.Metrics().control_bytes.labels("orders"),
         )
-        result = await client.order(
+        result = await client.send_order(
             _endpoint(address),
             {"fence": 1, "config": 1, "target": None},
             timeout=TIMEOUT_S,
-            allowed=lambda: True,
+            is_allowed=lambda: True,
         )
     assert result is True
 
--- a/sycamoreshed/adapters/web.py
+++ b/sycamoreshed/adapters/web.py
@@ -9,33 +9,33 @@
 
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import kernel
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 
 __all__ = [
-    "ERRORS",
-    "NOT_SENT",
+    "TRANSPORT_ERRORS",
+    "NOT_SENT_ERRORS",
     "Connector",
     "Reply",
     "describe",
     "fetch",
     "url_of",
-    "within",
+    "client_timeout",
 ]
 
 # Errors raised before a request's first byte can have left.
-NOT_SENT = (
+NOT_SENT_ERRORS = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
     aiohttp.InvalidURL,
 )
-ERRORS = (aiohttp.ClientError, OSError)
+TRANSPORT_ERRORS = (aiohttp.ClientError, OSError)
 # A connection that is not open by then is taken for a network partition;
 # nothing was sent, so the time left can go to another endpoint.
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 # aiohttp rounds timeouts above its threshold up to whole seconds, which
 # would let a call outlive its request's deadline.
-NO_ROUNDING_S = 1e9
-KEPT_URLS = 4096
+CEIL_THRESHOLD_S = 1e9
+MAX_CACHED_URLS = 4096
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
@@ -104,13 +104,13 @@
     data = b"" if body is None else msgspec.json.encode(body)
     try:
         async with (
-            limits.limit(max(timeout, 0.001)),
+            timeouts.time_limit(max(timeout, 0.001)),
             session.request(
                 method,
                 url_of(address, path),
                 data=data,
                 headers=JSON_HEADERS,
-                timeout=within(None),
+                timeout=client_timeout(None),
                 # A redirect of the kinds 307 and 308 would make aiohttp
                 # send a call that may not be repeated a second time.
                 allow_redirects=False,
@@ -119,28 +119,28 @@
             raw = await response.read()
             decoded = msgspec.json.decode(raw) if raw else None
             return Reply(response.status, decoded, len(raw), len(data))
-    except NOT_SENT as err:
+    except NOT_SENT_ERRORS as err:
         return kinds.Failure(kinds.Kind.REFUSED, describe(err), sent=False)
     except TimeoutError:
         return kinds.Failure(kinds.Kind.LATE, "no answer in time", sent=True)
-    except ERRORS as err:
+    except TRANSPORT_ERRORS as err:
         return kinds.Failure(kinds.Kind.REFUSED, describe(err), sent=True)
     except msgspec.DecodeError as err:
         return kinds.Failure(kinds.Kind.REFUSED, describe(err), sent=True)
 
 
-@functools.lru_cache(maxsize=KEPT_URLS)
+@functools.lru_cache(maxsize=MAX_CACHED_URLS)
 def url_of(address, path):
     """Return the URL of a path; parsing it anew costs each call."""
     return yarl.URL(f"http://{address}{path}")
 
 
-def within(seconds):
+def client_timeout(seconds):
     """Return the timeout of a call that may take `seconds`, or any time."""
     return aiohttp.ClientTimeout(
         total=None if seconds is None else max(seconds, 0.001),
-        sock_connect=CONNECT_S,
-        ceil_threshold=NO_ROUNDING_S,
+        sock_connect=CONNECT_TIMEOUT_S,
+        ceil_threshold=CEIL_THRESHOLD_S,
     )
 
 
--- a/sycamoreshed/entry/guard.py
+++ b/sycamoreshed/entry/guard.py
@@ -58,5 +58,5 @@
 @kernel.plugin("guard")
 async def guard(core):
     """Put the guard around all handlers."""
-    core.guard(guarded)
+    core.add_middleware(guarded)
     yield guarded
--- a/sycamoreshed/entry/tests/test_callers.py
+++ b/sycamoreshed/entry/tests/test_callers.py
@@ -75,7 +75,7 @@
     core._parts["admission"] = admission.Admission(
         settings=core.settings, live_count=lambda now: 1, clock=core.clock
     )
-    core.guard(guard.guarded)
+    core.add_middleware(guard.guarded)
     entry = callers.Callers(core=core)
     core.public.add_routes(entry.routes())
     server = test_utils.TestServer(core.public)
--- a/sycamoreshed/forwarding/client.py
+++ b/sycamoreshed/forwarding/client.py
@@ -12,7 +12,7 @@
 from sycamoreshed.adapters import web
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import kernel
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 
 __all__ = ["EndpointClient", "FullAnswer", "open_client", "read_full"]
 
@@ -170,7 +170,7 @@
     ):
         url = yarl.URL(f"http://{address}{target}", encoded=True)
         try:
-            async with limits.limit(max(timeout_s, 0.001)):
+            async with timeouts.time_limit(max(timeout_s, 0.001)):
                 return await session.request(
                     method,
                     url,
@@ -180,27 +180,27 @@
                     timeout=aiohttp.ClientTimeout(
                         total=None,
                         sock_connect=CONNECT_S,
-                        ceil_threshold=web.NO_ROUNDING_S,
+                        ceil_threshold=web.CEIL_THRESHOLD_S,
                     ),
                 )
-        except web.NOT_SENT as err:
+        except web.NOT_SENT_ERRORS as err:
             return _failure(kinds.Kind.REFUSED, err, sent=False)
         except TimeoutError:
             return kinds.Failure(
                 kinds.Kind.LATE, "no answer in time", sent=True
             )
-        except (*web.ERRORS, ValueError) as err:
+        except (*web.TRANSPORT_ERRORS, ValueError) as err:
             return _failure(kinds.Kind.REFUSED, err, sent=True)
 
 
 async def read_full(response, *, timeout_s):
     """Read a response; return a `FullAnswer` or a `Failure`."""
     try:
-        async with limits.limit(max(timeout_s, 0.001)):
+        async with timeouts.time_limit(max(timeout_s, 0.001)):
             body = await response.read()
     except TimeoutError:
         return kinds.Failure(kinds.Kind.LATE, "answer not whole", sent=True)
-    except web.ERRORS as err:
+    except web.TRANSPORT_ERRORS as err:
         return _failure(kinds.Kind.REFUSED, err, sent=True)
     finally:
         response.close()
--- a/sycamoreshed/forwarding/streams.py
+++ b/sycamoreshed/forwarding/streams.py
@@ -7,7 +7,7 @@
 from sycamoreshed.forwarding import attempts
 from sycamoreshed.forwarding import client
 from sycamoreshed.forwarding import sse
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 
 __all__ = ["StreamEnd", "forward_stream"]
 
@@ -128,11 +128,11 @@
     buffer = sse.EventBuffer()
     while True:
         try:
-            async with limits.limit(_timeout(request, parts, progress)):
+            async with timeouts.time_limit(_timeout(request, parts, progress)):
                 data = await response.content.readany()
         except TimeoutError:
             return _broken("engine is silent")
-        except web.ERRORS as err:
+        except web.TRANSPORT_ERRORS as err:
             return _broken(web.describe(err))
         if not data:
             break
--- a/sycamoreshed/gateway/daemon.py
+++ b/sycamoreshed/gateway/daemon.py
@@ -67,7 +67,8 @@
         signal.SIGHUP, functools.partial(_read, core, path)
     )
     await core.run(
-        until=functools.partial(_run, path=path), wanted=("listeners",)
+        wait_for_stop=functools.partial(_run, path=path),
+        plugin_names=("listeners",),
     )
 
 
--- a/sycamoreshed/gateway/handler.py
+++ b/sycamoreshed/gateway/handler.py
@@ -11,7 +11,7 @@
 from sycamoreshed.gateway import answers
 from sycamoreshed.gateway import patience
 from sycamoreshed.kernel import kernel
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 
 __all__ = ["Handler"]
 
@@ -217,7 +217,7 @@
         )
         left = max(0.0, request.deadline - self._clock())
         try:
-            async with limits.limit(left):
+            async with timeouts.time_limit(left):
                 outcome = await self._forwarder.forward(request, sink)
         except TimeoutError:
             # Whatever was sent has been cancelled, and may have run.
--- a/sycamoreshed/kernel/kernel.py
+++ b/sycamoreshed/kernel/kernel.py
@@ -53,13 +53,13 @@
     return decorate
 
 
-def start_order(plugins, wanted=None):
+def start_order(plugins, plugin_names=None):
     """Return plug-ins so that each comes after those it needs.
 
     Parameters
     ----------
     plugins : dict of str to Plugin
-    wanted : iterable of str, optional
+    plugin_names : iterable of str, optional
         Those to start with all they need; every one if left out.
 
     Returns
@@ -75,12 +75,12 @@
     done = set()
     pending = set()
 
-    def visit(name, wanted_by):
+    def visit(name, required_by):
         if name in done:
             return
         if name not in plugins:
             raise exceptions.RegistryError(
-                f"{wanted_by} needs unknown plug-in {name!r}"
+                f"{required_by} needs unknown plug-in {name!r}"
             )
         if name in pending:
             raise exceptions.RegistryError(f"cycle of needs at {name!r}")
@@ -90,7 +90,7 @@
         done.add(name)
         order.append(plugins[name])
 
-    for name in sorted(plugins if wanted is None else wanted):
+    for name in sorted(plugins if plugin_names is None else plugin_names):
         visit(name, "the kernel")
     return order
 
@@ -126,7 +126,7 @@
         """Return the part a plug-in provides."""
         return self._parts[name]
 
-    def guard(self, middleware):
+    def add_middleware(self, middleware):
         """Put a middleware around all handlers of both web apps."""
         self.public.middlewares.append(middleware)
         self.control.middlewares.append(middleware)
@@ -144,22 +144,22 @@
         task.add_done_callback(self._on_done)
         return task
 
-    async def run(self, *, until, wanted=None):
-        """Start plug-ins, wait for `until`, then stop them.
+    async def run(self, *, wait_for_stop, plugin_names=None):
+        """Start plug-ins, wait for `wait_for_stop`, then stop them.
 
         Parameters
         ----------
-        until : coroutine function
+        wait_for_stop : coroutine function
             Takes the kernel; its return begins the stop.
-        wanted : iterable of str, optional
+        plugin_names : iterable of str, optional
             Plug-ins to start with all they need; every one if left out.
         """
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._cancel_tasks)
-            for entry in start_order(_plugins, wanted):
+            for entry in start_order(_plugins, plugin_names):
                 part = await stack.enter_async_context(entry.start(self))
                 self._parts[entry.name] = part
-            await until(self)
+            await wait_for_stop(self)
 
     def _on_done(self, task):
         self._tasks.discard(task)
--- a/sycamoreshed/kernel/tests/test_limits.py
+++ b/sycamoreshed/kernel/tests/test_timeouts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 
 
 async def first_bytes(seconds, *, answer_s, pause_s):
@@ -20,7 +20,7 @@
     reader, writer = await asyncio.open_connection(*server.getsockname())
     asyncio.get_running_loop().call_later(0.01, time.sleep, pause_s)
     try:
-        async with limits.limit(seconds):
+        async with timeouts.time_limit(seconds):
             return await reader.read(100)
     finally:
         writer.close()
@@ -58,7 +58,7 @@
 
 
 async def test_what_ends_in_time_is_left_alone():
-    async with limits.limit(0.05):
+    async with timeouts.time_limit(0.05):
         pass
-    async with limits.limit(None):
+    async with timeouts.time_limit(None):
         await asyncio.sleep(0.1)
--- a/sycamoreshed/kernel/limits.py
+++ b/sycamoreshed/kernel/timeouts.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-__all__ = ["limit"]
+__all__ = ["time_limit"]
 
 # A timer that fires later than this was not served: the process was paused,
 # had no processor, or was busy with something else.
@@ -13,7 +13,7 @@
 
 
 @contextlib.asynccontextmanager
-async def limit(seconds):
+async def time_limit(seconds):
     """End a block with `TimeoutError` after a time, as `asyncio.timeout`.
 
     Parameters
@@ -34,7 +34,7 @@
     Examples
     --------
     >>> async def sleep():
-    ...     async with limit(0.01):
+    ...     async with time_limit(0.01):
     ...         await asyncio.sleep(1)
     >>> asyncio.run(sleep())
     Traceback (most recent call last):
--- a/sycamoreshed/membership/listing.py
+++ b/sycamoreshed/membership/listing.py
@@ -58,7 +58,7 @@
             await asyncio.sleep(seconds * random.uniform(0.8, 1.2))
 
     def take(self, items):
-        """Take in a list of `Listed`."""
+        """Take in a list of `ListedInstance`."""
         endpoints = {
             item.name
             for group in self._notes.config.endpoints.values()
--- a/sycamoreshed/membership/messages.py
+++ b/sycamoreshed/membership/messages.py
@@ -7,7 +7,7 @@
 
 from sycamoreshed.adapters import web
 from sycamoreshed.errors import kinds
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 
 __all__ = ["Message", "decode", "encode", "post"]
 
@@ -65,7 +65,7 @@
     """
     try:
         async with (
-            limits.limit(timeout),
+            timeouts.time_limit(timeout),
             session.post(
                 f"http://{address}{PATH}",
                 data=raw,
@@ -80,5 +80,5 @@
                 )
             size = len(raw) + len(answer) + REQUEST_BYTES + ANSWER_BYTES
             return decode(answer), size
-    except (*web.ERRORS, msgspec.MsgspecError) as err:
+    except (*web.TRANSPORT_ERRORS, msgspec.MsgspecError) as err:
         return kinds.Failure(kinds.Kind.REFUSED, web.describe(err))
--- a/sycamoreshed/membership/tests/test_membership.py
+++ b/sycamoreshed/membership/tests/test_membership.py
@@ -91,7 +91,9 @@
 
 
 def listed(name, status, generation):
-    return instancelist.Listed(name, "127.0.0.1:9", "z", status, generation)
+    return instancelist.ListedInstance(
+        name, "127.0.0.1:9", "z", status, generation
+    )
 
 
 LISTS = [
--- a/sycamoreshed/membership/watching.py
+++ b/sycamoreshed/membership/watching.py
@@ -125,7 +125,7 @@
     async def _watch(self, endpoint, first):
         await asyncio.sleep(random.uniform(0, PROBE_S))
         while True:
-            reply = await self._client.ask(
+            reply = await self._client.request(
                 endpoint, "GET", "/load", timeout=TIMEOUT_S
             )
             failed = isinstance(reply, kinds.Failure)
--- a/sycamoreshed/orders/dispatch.py
+++ b/sycamoreshed/orders/dispatch.py
@@ -83,11 +83,11 @@
             fence=fence,
         )
         longest = self._lease.terms.longest
-        result = await self._client.order(
+        result = await self._client.send_order(
             engine.endpoint,
             order,
             timeout=longest / 2,
-            allowed=lambda: self._is_allowed(fence, config),
+            is_allowed=lambda: self._is_allowed(fence, config),
         )
         self._take_outcome(result, self._clock() + longest)
         return result is True
--- a/sycamoreshed/orders/tests/test_dispatch.py
+++ b/sycamoreshed/orders/tests/test_dispatch.py
@@ -42,9 +42,9 @@
         """Tell that nothing is under way."""
         return {"running": 0}
 
-    async def order(self, _endpoint, order, *, timeout, allowed):
+    async def send_order(self, _endpoint, order, *, timeout, is_allowed):
         """Take an order."""
-        if not allowed():
+        if not is_allowed():
             return kinds.Failure(kinds.Kind.REFUSED, "not allowed any more")
         self.taken.append(order)
         return True
--- a/sycamoreshed/pipeline/streamed.py
+++ b/sycamoreshed/pipeline/streamed.py
@@ -8,7 +8,7 @@
 
 from sycamoreshed.adapters import endpoints as adapters
 from sycamoreshed.errors import kinds
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 from sycamoreshed.pipeline import evidence
 from sycamoreshed.pipeline import hedges
 
@@ -115,7 +115,7 @@
         try:
             # The client bounds each wait for the engine; this bounds also
             # the waits for a caller that reads slowly.
-            async with limits.limit(until - began) as timer:
+            async with timeouts.time_limit(until - began) as timer:
                 first = hedges.Patience(
                     timer=timer,
                     seconds=patience,
@@ -136,7 +136,9 @@
                 endpoint, call, result, began, self._clock()
             )
             if isinstance(result, kinds.Failure) and result.sent:
-                await adapters.cancel_quietly(self._client, endpoint, call)
+                await adapters.cancel_in_background(
+                    self._client, endpoint, call
+                )
         if result is hedges.MOVED:
             return result
         evidence.report(
--- a/sycamoreshed/pipeline/unary.py
+++ b/sycamoreshed/pipeline/unary.py
@@ -122,7 +122,7 @@
         except asyncio.CancelledError:
             # The caller went away: without this the endpoint would work
             # on for nobody.
-            await adapters.cancel_quietly(self._client, endpoint, call)
+            await adapters.cancel_in_background(self._client, endpoint, call)
             raise
         finally:
             ended = self._clock()
@@ -136,7 +136,7 @@
             seconds=ended - now,
         )
         if isinstance(result, kinds.Failure) and result.sent:
-            await adapters.cancel_quietly(self._client, endpoint, call)
+            await adapters.cancel_in_background(self._client, endpoint, call)
         return result
 
     async def _may_retry(self, stage, failure, attempt, until):
--- a/sycamoreshed/staging/coordinator.py
+++ b/sycamoreshed/staging/coordinator.py
@@ -4,7 +4,7 @@
 import typing
 
 from sycamoreshed.errors import kinds
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 from sycamoreshed.staging import pieces
 from sycamoreshed.staging import scheduling
 
@@ -98,7 +98,7 @@
         try:
             # A call that started before the deadline may end a little
             # later; the caller does not wait much longer than that.
-            async with limits.limit(admitted.deadline - now + GRACE_S):
+            async with timeouts.time_limit(admitted.deadline - now + GRACE_S):
                 result = await self._run_stages(admitted)
             if not isinstance(result, kinds.Failure):
                 self._scheduler.record_completion(admitted, self._clock())
