--- a/sycamoreshed/entry/daemon.py
+++ b/sycamoreshed/entry/daemon.py
@@ -82,4 +82,4 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, core.stopping.set)
-    await core.run(wait_for_stop=servers.drain, plugin_names=PARTS)
+    await core.run(main=servers.drain, plugin_names=PARTS)
--- a/sycamoreshed/exceptions.py
+++ b/sycamoreshed/exceptions.py
@@ -1,8 +1,9 @@
 """Exceptions raised by the package.
 
-Failures that are part of normal work travel as values
-(`sycamoreshed.errors.kinds.Failure`); an exception means that a file an
-operator wrote is wrong, or that the program is.
+Failures that are part of normal operation are returned as values
+(`sycamoreshed.errors.kinds.Failure`); an exception means that input, such
+as a file that an operator wrote, is not valid, or that the program has a
+fault.
 """
 
 __all__ = ["CheckError", "RegistryError", "SycamoreshedError"]
@@ -13,14 +14,14 @@
 
 
 class CheckError(SycamoreshedError):
-    """A settings file or a release note is not valid.
+    """A settings file, a release note or a request body is not valid.
 
     Parameters
     ----------
     source : str
         Name of the file or message that was checked.
     path : str
-        Where in the document, such as ``$.peers[2]``.
+        Path within the document, such as ``$.peers[2]``.
     expected : str
         What was expected there.
     """
@@ -33,4 +34,4 @@
 
 
 class RegistryError(SycamoreshedError):
-    """A name is registered twice, or is not registered."""
+    """A name is registered twice or not at all, or needs form a cycle."""
--- a/sycamoreshed/gateway/daemon.py
+++ b/sycamoreshed/gateway/daemon.py
@@ -67,7 +67,7 @@
         signal.SIGHUP, functools.partial(_read, core, path)
     )
     await core.run(
-        wait_for_stop=functools.partial(_run, path=path),
+        main=functools.partial(_run, path=path),
         plugin_names=("listeners",),
     )
 
--- a/sycamoreshed/gateway/settings.py
+++ b/sycamoreshed/gateway/settings.py
@@ -22,16 +22,16 @@
     control: str
     table: str
     peers: list[str]
-    grace_s: typing.NotRequired[schema.Seconds]
-    stable_ms: typing.NotRequired[schema.Positive]
-    apply_ms: typing.NotRequired[schema.Positive]
-    retry_ratio: typing.NotRequired[schema.Seconds]
-    retry_slack: typing.NotRequired[schema.Seconds]
-    retry_window_s: typing.NotRequired[schema.Seconds]
-    core_share: typing.NotRequired[schema.Seconds]
-    core_speed: typing.NotRequired[schema.Seconds]
-    max_body_bytes: typing.NotRequired[schema.Positive]
-    max_control_bytes: typing.NotRequired[schema.Positive]
+    grace_s: typing.NotRequired[schema.NonNegative]
+    stable_ms: typing.NotRequired[schema.PositiveInt]
+    apply_ms: typing.NotRequired[schema.PositiveInt]
+    retry_ratio: typing.NotRequired[schema.NonNegative]
+    retry_slack: typing.NotRequired[schema.NonNegative]
+    retry_window_s: typing.NotRequired[schema.NonNegative]
+    core_share: typing.NotRequired[schema.NonNegative]
+    core_speed: typing.NotRequired[schema.NonNegative]
+    max_body_bytes: typing.NotRequired[schema.PositiveInt]
+    max_control_bytes: typing.NotRequired[schema.PositiveInt]
 
 
 class Settings(typing.NamedTuple):
--- a/sycamoreshed/kernel/kernel.py
+++ b/sycamoreshed/kernel/kernel.py
@@ -1,8 +1,8 @@
-"""The kernel: starts plug-ins in order of need, stops them in reverse.
+"""The kernel: starts plug-ins in dependency order, stops them in reverse.
 
 A plug-in is an asynchronous context manager that takes the kernel and
-yields its *part*, the object other plug-ins use.  Each plug-in registers
-itself with the names of the parts it needs.
+yields its *part*, the object that other plug-ins use.  Each plug-in is
+registered with the names of the parts it needs.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
     Parameters
     ----------
     name : str
-        Name of the part it provides.
+        Name of the plug-in and of the part it provides.
     needs : tuple of str
         Parts that must be started before it.
     start : callable
@@ -39,7 +39,7 @@
 
 
 def plugin(name, *, needs=()):
-    """Return a decorator that registers an async generator as plug-in."""
+    """Return a decorator that registers an async generator as a plug-in."""
 
     def decorate(func):
         if name in _plugins:
@@ -54,13 +54,13 @@
 
 
 def start_order(plugins, plugin_names=None):
-    """Return plug-ins so that each comes after those it needs.
+    """Return plug-ins sorted so that each comes after those it needs.
 
     Parameters
     ----------
     plugins : dict of str to Plugin
     plugin_names : iterable of str, optional
-        Those to start with all they need; every one if left out.
+        Plug-ins to start, with all they need; default all.
 
     Returns
     -------
@@ -69,25 +69,25 @@
     Raises
     ------
     RegistryError
-        If a need is unknown or needs form a cycle.
+        If a needed plug-in is unknown or needs form a cycle.
     """
     order = []
-    done = set()
-    pending = set()
+    visited = set()
+    visiting = set()
 
     def visit(name, required_by):
-        if name in done:
+        if name in visited:
             return
         if name not in plugins:
             raise exceptions.RegistryError(
                 f"{required_by} needs unknown plug-in {name!r}"
             )
-        if name in pending:
+        if name in visiting:
             raise exceptions.RegistryError(f"cycle of needs at {name!r}")
-        pending.add(name)
-        for need in plugins[name].needs:
-            visit(need, name)
-        done.add(name)
+        visiting.add(name)
+        for needed in plugins[name].needs:
+            visit(needed, name)
+        visited.add(name)
         order.append(plugins[name])
 
     for name in sorted(plugins if plugin_names is None else plugin_names):
@@ -96,7 +96,7 @@
 
 
 class Kernel:
-    """What a daemon's parts share: settings, clock, web apps, each other.
+    """Settings, clock, web apps and parts that a daemon's plug-ins share.
 
     Parameters
     ----------
@@ -119,56 +119,56 @@
 
     @property
     def stopping(self):
-        """Event that is set once a graceful shutdown has begun."""
+        """Event that is set once a graceful shutdown has started."""
         return self._stopping
 
     def part(self, name):
-        """Return the part a plug-in provides."""
+        """Return the part that the plug-in `name` provides."""
         return self._parts[name]
 
     def add_middleware(self, middleware):
-        """Put a middleware around all handlers of both web apps."""
+        """Apply a middleware to all handlers of both web apps."""
         self.public.middlewares.append(middleware)
         self.control.middlewares.append(middleware)
 
     def spawn(self, coro, *, name):
-        """Run a coroutine as a task that ends with the kernel.
+        """Run a coroutine as a task that is cancelled when the kernel stops.
 
         Notes
         -----
-        A background task that dies of a fault would otherwise go
-        unnoticed until its work is missed, so its end is logged.
+        An exception that ends the task is logged; otherwise it would go
+        unnoticed until the effect of the missing work shows.
         """
         task = asyncio.create_task(coro, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._on_done)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    async def run(self, *, wait_for_stop, plugin_names=None):
-        """Start plug-ins, wait for `wait_for_stop`, then stop them.
+    async def run(self, *, main, plugin_names=None):
+        """Start plug-ins, run `main`, then stop them.
 
         Parameters
         ----------
-        wait_for_stop : coroutine function
-            Takes the kernel; its return begins the stop.
+        main : coroutine function
+            Takes the kernel; plug-ins are stopped when it returns.
         plugin_names : iterable of str, optional
-            Plug-ins to start with all they need; every one if left out.
+            Plug-ins to start, with all they need; default all.
         """
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._cancel_tasks)
             for entry in start_order(_plugins, plugin_names):
                 part = await stack.enter_async_context(entry.start(self))
                 self._parts[entry.name] = part
-            await wait_for_stop(self)
+            await main(self)
 
-    def _on_done(self, task):
+    def _on_task_done(self, task):
         self._tasks.discard(task)
         if task.cancelled():
             return
         error = task.exception()
         if error is not None:
             logger.opt(exception=error).error(
-                "background task {} died", task.get_name()
+                "background task {} failed", task.get_name()
             )
 
     async def _cancel_tasks(self):
--- a/sycamoreshed/kernel/registry.py
+++ b/sycamoreshed/kernel/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill."""
+"""Registries of functions, filled by decorators."""
 
 from sycamoreshed import exceptions
 
@@ -11,7 +11,7 @@
     Parameters
     ----------
     kind : str
-        What is registered, for messages.
+        What is registered, for error messages.
 
     Examples
     --------
@@ -35,7 +35,7 @@
         Raises
         ------
         RegistryError
-            If the name is taken.
+            If the name is already registered.
         """
 
         def decorate(func):
@@ -49,12 +49,12 @@
         return decorate
 
     def get(self, name):
-        """Return what is stored under `name`.
+        """Return the function registered under `name`.
 
         Raises
         ------
         RegistryError
-            If nothing is.
+            If none is registered.
         """
         if name not in self._entries:
             known = ", ".join(self.names())
--- a/sycamoreshed/kernel/tests/test_timeouts.py
+++ b/sycamoreshed/kernel/tests/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Limits on time, and what comes while a process is paused."""
+"""Time limits, and data that arrives while the process is paused."""
 
 import asyncio
 import socket
@@ -9,10 +9,10 @@
 from sycamoreshed.kernel import timeouts
 
 
-async def first_bytes(seconds, *, answer_s, pause_s):
-    """Ask a server under a limit, and block the process meanwhile.
+async def read_during_pause(seconds, *, answer_s, pause_s):
+    """Read from a server under a time limit, and block the event loop.
 
-    The server is another thread's, so that it answers during the pause.
+    The server runs in another thread, so that it answers during the pause.
     """
     server = await asyncio.to_thread(_listen)
     answering = asyncio.to_thread(_answer, server, answer_s)
@@ -33,31 +33,32 @@
 
 
 def _answer(server, seconds):
-    found, _ = server.accept()
-    with found:
+    connection, _ = server.accept()
+    with connection:
         time.sleep(seconds)
-        found.sendall(b"answer")
+        connection.sendall(b"answer")
 
 
-async def test_an_answer_that_came_during_a_pause_is_read():
-    """A process is paused for longer than a call may take.
+async def test_an_answer_that_arrives_during_a_pause_is_read():
+    """The process is paused for longer than the time limit of a call.
 
-    The answer came in time and lies in the socket.  Given up as late, the
-    caller would hear of a failure of an endpoint that did its work.
+    The answer arrived in time and is in the socket's buffer.  If the call
+    timed out, the caller would get a failure although the endpoint had
+    done its work.
     """
-    got = await first_bytes(0.15, answer_s=0.05, pause_s=0.4)
-    assert got == b"answer"
+    received = await read_during_pause(0.15, answer_s=0.05, pause_s=0.4)
+    assert received == b"answer"
 
 
-async def test_an_answer_that_did_not_come_is_given_up():
-    """Nothing came during the pause; the time is over all the same."""
-    began = time.monotonic()
+async def test_a_call_without_an_answer_times_out_after_a_pause():
+    """Nothing arrives during the pause; the time limit still holds."""
+    started_at = time.monotonic()
     with pytest.raises(TimeoutError):
-        await first_bytes(0.15, answer_s=1.5, pause_s=0.4)
-    assert time.monotonic() - began < 10
+        await read_during_pause(0.15, answer_s=1.5, pause_s=0.4)
+    assert time.monotonic() - started_at < 10
 
 
-async def test_what_ends_in_time_is_left_alone():
+async def test_a_block_that_ends_in_time_is_not_interrupted():
     async with timeouts.time_limit(0.05):
         pass
     async with timeouts.time_limit(None):
--- a/sycamoreshed/kernel/timeouts.py
+++ b/sycamoreshed/kernel/timeouts.py
@@ -1,35 +1,35 @@
-"""Time limits that do not blame others for a pause of this process."""
+"""Time limits that allow for pauses of this process."""
 
 import asyncio
 import contextlib
 
 __all__ = ["time_limit"]
 
-# A timer that fires later than this was not served: the process was paused,
-# had no processor, or was busy with something else.
-HELD_UP_S = 0.05
-# What came meanwhile is read and handed on within this time.
-READ_S = 0.05
+# A timer that fires later than this was delayed by this process: it was
+# paused, had no processor, or was busy with something else.
+MAX_TIMER_DELAY_S = 0.05
+# Time to read and process what arrived during the delay.
+READ_GRACE_S = 0.05
 
 
 @contextlib.asynccontextmanager
 async def time_limit(seconds):
-    """End a block with `TimeoutError` after a time, as `asyncio.timeout`.
+    """End a block with `TimeoutError` after a time, like `asyncio.timeout`.
 
     Parameters
     ----------
     seconds : float or None
-        No limit with None.
+        None for no limit.
 
     Notes
     -----
-    When a process goes on after a pause, the event loop serves timers
-    before it reads sockets.  A call that was answered in time then counts
-    as lost: its answer is thrown away, the endpoint is blamed, and what
-    depends on it may fail although all is there.  One sees an attempt
-    that took about as long as the pause, and other attempts that ended in
-    the same moment.  So a timer that was held up itself leaves time to
-    read first.
+    When a process resumes after a pause, the event loop runs expired
+    timers before it processes data from sockets.  A call that was answered
+    in time would then be counted as failed: its answer would be dropped,
+    the endpoint recorded as at fault, and the request might fail although
+    all data had arrived.  This shows as an attempt that took about as long
+    as the pause, with other attempts that ended at the same moment.  A
+    timer that fires late therefore first leaves time to read.
 
     Examples
     --------
@@ -46,14 +46,14 @@
         if seconds is None:
             yield timer
             return
-        due = loop.time() + seconds
+        deadline = loop.time() + seconds
 
         def expire():
             now = loop.time()
-            held_up = now - due > HELD_UP_S
-            timer.reschedule(now + READ_S if held_up else now)
+            delayed = now - deadline > MAX_TIMER_DELAY_S
+            timer.reschedule(now + READ_GRACE_S if delayed else now)
 
-        handle = loop.call_at(due, expire)
+        handle = loop.call_at(deadline, expire)
         try:
             yield timer
         finally:
--- a/sycamoreshed/settings/__init__.py
+++ b/sycamoreshed/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of one daemon, checked on start."""
+"""Settings of a daemon, checked at startup."""
--- a/sycamoreshed/settings/checking.py
+++ b/sycamoreshed/settings/checking.py
@@ -1,7 +1,7 @@
-"""Checking JSON documents against typed dictionaries.
+"""Validation of JSON documents against typed dictionaries.
 
-`msgspec` checks types; it lets unknown keys of a ``TypedDict`` pass, which
-would hide a misspelt key, so those are looked for here.
+`msgspec` checks types but ignores unknown keys of a ``TypedDict``, which
+would hide a misspelt key, so unknown keys are rejected here.
 """
 
 import functools
@@ -15,7 +15,7 @@
 
 __all__ = ["convert", "decode", "read"]
 
-_MESSAGE = re.compile(r"^(?P<what>.*?)(?: - at `(?P<path>.*)`)?$", re.S)
+_MSGSPEC_ERROR = re.compile(r"^(?P<what>.*?)(?: - at `(?P<path>.*)`)?$", re.S)
 
 
 def read(path):
@@ -37,7 +37,7 @@
 
 
 def decode(raw, kind, *, source):
-    """Decode JSON bytes and check them.
+    """Decode JSON bytes and validate the document.
 
     Parameters
     ----------
@@ -45,7 +45,7 @@
     kind : type
         A ``TypedDict``.
     source : str
-        Name for messages.
+        Name of the document, for error messages.
 
     Returns
     -------
@@ -54,7 +54,7 @@
     Raises
     ------
     CheckError
-        Naming the place and what was expected.
+        With the path in the document and what was expected there.
     """
     try:
         document = msgspec.json.decode(raw)
@@ -66,30 +66,30 @@
 
 
 def convert(document, kind, *, source):
-    """Check a decoded document; see `decode`."""
+    """Validate a decoded document; see `decode`."""
     try:
         checked = msgspec.convert(document, kind)
     except msgspec.ValidationError as err:
-        match = _MESSAGE.match(str(err))
+        match = _MSGSPEC_ERROR.match(str(err))
         raise exceptions.CheckError(
             source=source,
             path=match["path"] or "$",
             expected=match["what"],
         ) from None
-    _refuse_unknown(document, kind, source=source, path="$")
+    _reject_unknown_keys(document, kind, source=source, path="$")
     return checked
 
 
 @functools.cache
-def _hints(kind):
-    """Return the keys of a type; asking anew costs more than the check."""
+def _type_hints(kind):
+    """Return the keys of a type; cached, as it costs more than the check."""
     return typing.get_type_hints(kind)
 
 
-def _refuse_unknown(document, kind, *, source, path):
+def _reject_unknown_keys(document, kind, *, source, path):
     origin = typing.get_origin(kind)
     if typing.is_typeddict(kind):
-        hints = _hints(kind)
+        hints = _type_hints(kind)
         for key, value in document.items():
             if key not in hints:
                 known = ", ".join(sorted(hints))
@@ -98,16 +98,18 @@
                     path=f"{path}.{key}",
                     expected=f"unknown key; expected one of: {known}",
                 )
-            _refuse_unknown(
+            _reject_unknown_keys(
                 value, hints[key], source=source, path=f"{path}.{key}"
             )
     elif origin is dict:
         _, inner = typing.get_args(kind)
         for key, value in document.items():
-            _refuse_unknown(value, inner, source=source, path=f"{path}.{key}")
+            _reject_unknown_keys(
+                value, inner, source=source, path=f"{path}.{key}"
+            )
     elif origin is list:
         (inner,) = typing.get_args(kind)
         for index, value in enumerate(document):
-            _refuse_unknown(
+            _reject_unknown_keys(
                 value, inner, source=source, path=f"{path}[{index}]"
             )
--- a/sycamoreshed/settings/schema.py
+++ b/sycamoreshed/settings/schema.py
@@ -1,4 +1,4 @@
-"""What a daemon's settings file holds, and how it is checked."""
+"""Contents of a daemon's settings file, and its validation."""
 
 import ipaddress
 import typing
@@ -17,9 +17,9 @@
     "parse",
 ]
 
-Positive = typing.Annotated[int, msgspec.Meta(gt=0)]
-Seconds = typing.Annotated[float, msgspec.Meta(ge=0)]
-ADDRESSES = (
+PositiveInt = typing.Annotated[int, msgspec.Meta(gt=0)]
+NonNegative = typing.Annotated[float, msgspec.Meta(ge=0)]
+ADDRESS_FIELDS = (
     "public",
     "control",
     "advertise",
@@ -31,29 +31,29 @@
 
 
 class TariffHours(typing.TypedDict):
-    """Hours of the day in which attainment has another worth."""
+    """Hours of the day in which attainment has another value."""
 
     begin: float
     end: float
-    attainment: Seconds
+    attainment: NonNegative
 
 
 class Tariff(typing.TypedDict):
-    """What attainment is worth against crossing regions.
+    """The value of attainment relative to the cost of crossing regions.
 
-    ``attainment``: cost units of one request answered in time.
-    ``crossing_mb``: cost units of a megabyte between regions.  ``hour``:
-    taken for the hour of the day, for trials.
+    ``attainment``: value of one request answered in time, in cost units.
+    ``crossing_mb``: cost units of a megabyte sent between regions.
+    ``hour``: replaces the current hour of the day, for experiments.
     """
 
-    attainment: Seconds
-    crossing_mb: Seconds
+    attainment: NonNegative
+    crossing_mb: NonNegative
     hours: typing.NotRequired[list[TariffHours]]
     hour: typing.NotRequired[float]
 
 
 class Document(typing.TypedDict):
-    """The settings file as it is written; see `Settings`."""
+    """The settings file as decoded; see `Settings`."""
 
     instance: str
     region: str
@@ -70,22 +70,22 @@
     limiter: typing.NotRequired[str]
     tariff: typing.NotRequired[Tariff]
     hedging: typing.NotRequired[bool]
-    retry_share: typing.NotRequired[Seconds]
-    slots: typing.NotRequired[Positive]
-    queue: typing.NotRequired[Positive]
-    grace_s: typing.NotRequired[Seconds]
-    drain_s: typing.NotRequired[Seconds]
-    max_body_bytes: typing.NotRequired[Positive]
-    max_control_bytes: typing.NotRequired[Positive]
-    record_ttl_s: typing.NotRequired[Seconds]
-    record_group: typing.NotRequired[Positive]
-    store_timeout_s: typing.NotRequired[Seconds]
-    lease_s: typing.NotRequired[Seconds]
-    lease_margin_s: typing.NotRequired[Seconds]
-    order_longest_s: typing.NotRequired[Seconds]
-    order_look_s: typing.NotRequired[Seconds]
-    loads_at_once: typing.NotRequired[Positive]
-    weight_rate: typing.NotRequired[Seconds]
+    retry_share: typing.NotRequired[NonNegative]
+    slots: typing.NotRequired[PositiveInt]
+    queue: typing.NotRequired[PositiveInt]
+    grace_s: typing.NotRequired[NonNegative]
+    drain_s: typing.NotRequired[NonNegative]
+    max_body_bytes: typing.NotRequired[PositiveInt]
+    max_control_bytes: typing.NotRequired[PositiveInt]
+    record_ttl_s: typing.NotRequired[NonNegative]
+    record_group: typing.NotRequired[PositiveInt]
+    store_timeout_s: typing.NotRequired[NonNegative]
+    lease_s: typing.NotRequired[NonNegative]
+    lease_margin_s: typing.NotRequired[NonNegative]
+    order_longest_s: typing.NotRequired[NonNegative]
+    order_look_s: typing.NotRequired[NonNegative]
+    loads_at_once: typing.NotRequired[PositiveInt]
+    weight_rate: typing.NotRequired[NonNegative]
     log_level: typing.NotRequired[LogLevel]
 
 
@@ -99,58 +99,59 @@
     region, zone : str
         Where it runs.
     public : str
-        ``IP:port`` callers reach.
+        ``IP:port`` on which callers are served.
     control : str
-        ``IP:port`` peers and operators reach.
+        ``IP:port`` on which peers and operators are served.
     table, objects, instance_list : str
         ``IP:port`` of the platform's services.
     peers : list of str
-        Control addresses of peers to meet first; more are learnt.
+        Control addresses of peers to contact first; others are discovered.
     advertise : str
-        Control address told to peers; ``control`` when left out.
+        Control address reported to peers; default ``control``.
     routing : str
         Name of the routing policy.
     fairness : str
-        Name of the admission order.
+        Name of the order in which waiting requests are admitted.
     limiter : str
-        Name of the rule for how many requests run at a time.
+        Name of the concurrency limiter.
     tariff : Tariff or None
-        What attainment is worth against cost; None for the default.
+        Value of attainment relative to cost; None for the default.
     hedging : bool
-        Whether a second attempt may begin while a slow one runs.
+        Whether a second attempt may start while a slow one is running.
     retry_share : float
-        Retries and hedges for each first attempt.
+        Retries and hedges allowed for each first attempt.
     slots : int
-        Most requests this instance runs at a time.
+        Maximum concurrency of requests on this instance.
     queue : int
-        Requests that may wait here.
+        Maximum number of requests that wait for admission.
     grace_s : float
-        Seconds between ``/readyz`` failing and the end of accepting.
+        Seconds from ``/readyz`` failing until new requests are rejected.
     drain_s : float
-        Time for requests in flight after that; longer if one of them has
-        a later deadline.
+        Seconds for requests in flight to finish after that; longer if one
+        of them has a later deadline.
     max_body_bytes, max_control_bytes : int
-        Largest body of a caller's, of a peer's or operator's request.
+        Maximum body size of requests to ``public`` and to ``control``.
     record_ttl_s : float
-        How long a record of a non-repeatable request is kept.
+        Seconds for which a record of a non-repeatable request is kept.
     record_group : int
-        Most writes of records in one transaction.
+        Maximum number of writes of records in one transaction.
     store_timeout_s : float
-        Time for one call of the table service.
+        Timeout of one call to the table service or the instance list;
+        calls to the object store have four times as long.
     lease_s, lease_margin_s : float
-        Length of a zone's lease on orders to engines, and the time
-        before its end from which no order leaves.
+        Duration of a zone's lease for sending orders to engines, and the
+        time before its end in which no order is sent.
     order_longest_s : float
-        Longest time between an order's leaving and its effect.
+        Maximum time between sending an order and its effect.
     order_look_s : float
-        Longest time after which a settled engine is read back.
+        Maximum interval between reads of a settled engine's state.
     loads_at_once : int
-        Engines of a zone that load at a time.
+        Maximum number of engines of a zone that load at the same time.
     weight_rate : float
-        Bytes a second that a zone may take from the weight store; zero
-        for no limit.
+        Maximum bytes per second that a zone loads from the weight store;
+        zero for no limit.
     log_level : str
-        Least level that is logged.
+        Lowest level that is logged.
     """
 
     instance: str
@@ -188,14 +189,14 @@
 
 
 def parse(raw, *, source):
-    """Check the bytes of a settings file.
+    """Decode and validate the bytes of a settings file.
 
     Parameters
     ----------
     raw : bytes
         JSON text.
     source : str
-        Name for messages.
+        Name of the file, for error messages.
 
     Returns
     -------
@@ -204,7 +205,7 @@
     Raises
     ------
     CheckError
-        Naming the place and what was expected.
+        With the path in the document and what was expected there.
 
     Examples
     --------
@@ -216,14 +217,14 @@
     document = checking.decode(raw, Document, source=source)
     document.setdefault("advertise", document["control"])
     settings = Settings(**document)
-    check_addresses(settings, ADDRESSES, source=source)
+    check_addresses(settings, ADDRESS_FIELDS, source=source)
     for index, peer in enumerate(settings.peers):
         check_address(peer, source=source, path=f"$.peers[{index}]")
     return settings
 
 
 def load(path):
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
