--- a/sycamoreshed/membership/listpoller.py
+++ b/sycamoreshed/membership/listpoller.py
@@ -69,7 +69,7 @@
 
         Parameters
         ----------
-        items : list of Listed
+        items : list of ListedInstance
         """
         endpoints = {
             item.name
--- a/sycamoreshed/membership/messages.py
+++ b/sycamoreshed/membership/messages.py
@@ -7,7 +7,7 @@
 
 from sycamoreshed.adapters import web
 from sycamoreshed.errors import kinds
-from sycamoreshed.kernel import limits
+from sycamoreshed.kernel import timeouts
 
 __all__ = ["Message", "decode", "encode", "post"]
 
@@ -66,7 +66,7 @@
     """
     try:
         async with (
-            limits.limit(timeout),
+            timeouts.time_limit(timeout),
             session.post(
                 f"http://{address}{PATH}",
                 data=raw,
@@ -86,5 +86,5 @@
                 + RESPONSE_HEADER_BYTES
             )
             return decode(body), size
-    except (*web.ERRORS, msgspec.MsgspecError) as err:
+    except (*web.TRANSPORT_ERRORS, msgspec.MsgspecError) as err:
         return kinds.Failure(kinds.Kind.REFUSED, web.describe(err))
--- a/sycamoreshed/membership/probing.py
+++ b/sycamoreshed/membership/probing.py
@@ -129,7 +129,7 @@
     async def _probe_loop(self, endpoint, is_publisher):
         await asyncio.sleep(random.uniform(0, PROBE_PERIOD_S))
         while True:
-            reply = await self._client.ask(
+            reply = await self._client.request(
                 endpoint, "GET", "/load", timeout=TIMEOUT_S
             )
             failed = isinstance(reply, kinds.Failure)
--- a/sycamoreshed/orders/dispatch.py
+++ b/sycamoreshed/orders/dispatch.py
@@ -83,11 +83,11 @@
             fence=fence,
         )
         max_order_s = self._lease.terms.max_order_s
-        result = await self._client.order(
+        result = await self._client.send_order(
             engine.endpoint,
             order,
             timeout=max_order_s / 2,
-            allowed=lambda: self._is_allowed(fence, config),
+            is_allowed=lambda: self._is_allowed(fence, config),
         )
         # An order without a response may take effect for the whole maximum.
         self._record_outcome(result, self._clock() + max_order_s)
--- a/sycamoreshed/orders/tests/test_dispatch.py
+++ b/sycamoreshed/orders/tests/test_dispatch.py
@@ -42,9 +42,9 @@
         """Report that no call is running."""
         return {"running": 0}
 
-    async def order(self, _endpoint, order, *, timeout, allowed):
+    async def send_order(self, _endpoint, order, *, timeout, is_allowed):
         """Accept an order if it is still allowed."""
-        if not allowed():
+        if not is_allowed():
             return kinds.Failure(kinds.Kind.REFUSED, "not allowed any more")
         self.accepted.append(order)
         return True
