--- a/sycamoreshed/catalog/following.py
+++ b/sycamoreshed/catalog/following.py
@@ -170,14 +170,14 @@
         wait, slack = self._wait(), SLACK_S
         if self._lost:
             wait, slack = 0.0, ANSWER_S
-        return await self._store.changes(
-            self._remote, self._replica.version, wait=wait, slack=slack
+        return await self._store.wait_for_changes(
+            self._remote, self._replica.version, wait_s=wait, slack_s=slack
         )
 
     def _take(self, changes):
         now = self._clock()
         rows = [(row.key, row.value) for row in changes.rows]
-        if changes.whole:
+        if changes.is_full:
             self._catalog.replace(
                 self._table, dict(rows), changes.version, now, source="store"
             )
--- a/sycamoreshed/catalog/tests/test_following.py
+++ b/sycamoreshed/catalog/tests/test_following.py
@@ -31,23 +31,23 @@
         """Return all rows."""
         self.calls += 1
         await asyncio.sleep(0.004)
-        return stores.Changes([], self._version(), whole=True)
+        return stores.Changes([], self._version(), is_full=True)
 
-    async def changes(self, _table, after, *, wait, slack):
+    async def wait_for_changes(self, _table, after, *, wait_s, slack_s):
         """Wait for rows that changed."""
         self.calls += 1
         await asyncio.sleep(0.004)
-        until = asyncio.get_running_loop().time() + wait
+        until = asyncio.get_running_loop().time() + wait_s
         while self._version() == after:
             if asyncio.get_running_loop().time() >= until:
-                return stores.Changes([], after, whole=False)
+                return stores.Changes([], after, is_full=False)
             await asyncio.sleep(0.005)
         version = self._version()
         rows = [
             stores.Row(str(number), b"row", number)
             for number in range(after + 1, version + 1)
         ]
-        return stores.Changes(rows, version, whole=False)
+        return stores.Changes(rows, version, is_full=False)
 
 
 class ForgetfulStore(Store):
@@ -55,14 +55,16 @@
 
     at = 0.05
 
-    async def changes(self, table, after, *, wait, slack):
+    async def wait_for_changes(self, table, after, *, wait_s, slack_s):
         """Wait for rows that changed."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        if began < self.at < began + wait:
-            await asyncio.sleep(wait)
-        rest = max(0.0, began + wait - loop.time())
-        return await super().changes(table, after, wait=rest, slack=slack)
+        if began < self.at < began + wait_s:
+            await asyncio.sleep(wait_s)
+        rest = max(0.0, began + wait_s - loop.time())
+        return await super().wait_for_changes(
+            table, after, wait_s=rest, slack_s=slack_s
+        )
 
 
 class SilentStore(Store):
@@ -70,13 +72,15 @@
 
     at = 0.05
 
-    async def changes(self, table, after, *, wait, slack):
+    async def wait_for_changes(self, table, after, *, wait_s, slack_s):
         """Wait for rows that changed."""
         began = asyncio.get_running_loop().time()
-        if began < self.at < began + wait:
-            await asyncio.sleep(wait + slack)
+        if began < self.at < began + wait_s:
+            await asyncio.sleep(wait_s + slack_s)
             return kinds.Failure(kinds.Kind.LATE, "no answer in time")
-        return await super().changes(table, after, wait=wait, slack=slack)
+        return await super().wait_for_changes(
+            table, after, wait_s=wait_s, slack_s=slack_s
+        )
 
 
 class NoPeers:
--- a/sycamoreshed/forwarding/attempts.py
+++ b/sycamoreshed/forwarding/attempts.py
@@ -281,7 +281,7 @@
             request.headers,
             team=request.team.name if request.team else None,
             endpoint=endpoint.id,
-            left_s=remaining_s,
+            remaining_s=remaining_s,
             priority=request.priority.level,
             inputs=self._inputs,
             last_event_id=last_event_id,
@@ -330,13 +330,15 @@
             if response.sent:
                 self._counted_attempts += 1
             return response
-        if not parts.codec.answers(response.headers, request.id):
+        if not parts.codec.matches_request(response.headers, request.id):
             self._counted_attempts += 1
             response.close()
             return kinds.Failure(
                 kinds.Kind.STRAY_ANSWER, "answers another request", sent=True
             )
-        verdict = parts.codec.judge(response.status, response.headers).value
+        verdict = parts.codec.classify_response(
+            response.status, response.headers
+        ).value
         if verdict != "elsewhere":
             self._counted_attempts += 1
         if request.route.streaming and verdict == "done":
--- a/sycamoreshed/forwarding/tests/builders.py
+++ b/sycamoreshed/forwarding/tests/builders.py
@@ -182,7 +182,7 @@
         service=SERVICE,
         team=None,
         priority=requests.Priority(0, 0),
-        head=calls.read_head(headers),
+        head=calls.parse_head(headers),
         method="POST",
         target="/",
         headers=headers,
--- a/sycamoreshed/gateway/inner.py
+++ b/sycamoreshed/gateway/control.py
@@ -10,10 +10,10 @@
 from sycamoreshed.staging import delegation
 from sycamoreshed.staging import pieces
 
-__all__ = ["Inner"]
+__all__ = ["ControlHandlers"]
 
 
-class Inner:
+class ControlHandlers:
     """Handlers of calls from other instances and from operators.
 
     Parameters
@@ -136,7 +136,7 @@
             ),
         }
 
-    handlers = Inner(
+    handlers = ControlHandlers(
         catalog=core.part("catalog"),
         watch_server=core.part("relay"),
         stages=core.part("stages"),
--- a/sycamoreshed/gateway/daemon.py
+++ b/sycamoreshed/gateway/daemon.py
@@ -27,8 +27,8 @@
 from sycamoreshed.forwarding import forwarder  # noqa: E402,F401
 from sycamoreshed.forwarding import health  # noqa: E402,F401
 from sycamoreshed.forwarding import placement  # noqa: E402,F401
+from sycamoreshed.gateway import control  # noqa: E402,F401
 from sycamoreshed.gateway import handler  # noqa: E402,F401
-from sycamoreshed.gateway import inner  # noqa: E402,F401
 from sycamoreshed.gateway import listeners  # noqa: E402
 from sycamoreshed.gateway import metrics  # noqa: E402,F401
 from sycamoreshed.gateway import settings as schema  # noqa: E402
--- a/sycamoreshed/gateway/patience.py
+++ b/sycamoreshed/gateway/deadline_history.py
@@ -1,6 +1,6 @@
 """Tells who comes back from who comes new."""
 
-__all__ = ["Patience"]
+__all__ = ["DeadlineHistory"]
 
 # Least share of a route's longest deadline on a first attempt; a shorter one
 # is taken for a retry.
@@ -9,7 +9,7 @@
 MOST_ROUTES = 2000
 
 
-class Patience:
+class DeadlineHistory:
     """The time callers of each route give at the most.
 
     Callers of a route give all their requests about the same time.  One
@@ -19,10 +19,10 @@
 
     Examples
     --------
-    >>> patience = Patience()
-    >>> patience.observe("r", 6.0), patience.observe("r", 5.5)
+    >>> history = DeadlineHistory()
+    >>> history.observe("r", 6.0), history.observe("r", 5.5)
     (0.0, 0.0)
-    >>> round(patience.observe("r", 4.5), 3)
+    >>> round(history.observe("r", 4.5), 3)
     0.6
     """
 
--- a/sycamoreshed/gateway/answers.py
+++ b/sycamoreshed/gateway/error_responses.py
@@ -6,7 +6,7 @@
 from sycamoreshed.entry import problems
 from sycamoreshed.errors import kinds
 
-__all__ = ["status_of", "told"]
+__all__ = ["error_response", "status_of"]
 
 # Statuses that the platform's callers take as "has not run and never
 # will"; told only when that is true, and then they may come back.
@@ -43,7 +43,7 @@
     return UNKNOWN if failure.kind in _LATE else FAILED
 
 
-def told(failure, request_id, retry_after):
+def error_response(failure, request_id, retry_after):
     """Return the HTTP answer of a failure.
 
     Parameters
--- a/sycamoreshed/gateway/handler.py
+++ b/sycamoreshed/gateway/handler.py
@@ -8,8 +8,8 @@
 from sycamoreshed.errors import kinds
 from sycamoreshed.forwarding import forwarder
 from sycamoreshed.forwarding import requests
-from sycamoreshed.gateway import answers
-from sycamoreshed.gateway import patience
+from sycamoreshed.gateway import deadline_history
+from sycamoreshed.gateway import error_responses
 from sycamoreshed.kernel import kernel
 from sycamoreshed.kernel import limits
 
@@ -47,7 +47,7 @@
 
     async def begin(self, response):
         """Send the head of the answer, that of the first engine."""
-        headers = self._codec.answer_headers(response.headers)
+        headers = self._codec.response_headers(response.headers)
         self.response = web.StreamResponse(
             status=response.status, reason=response.reason, headers=headers
         )
@@ -86,7 +86,7 @@
         self._metrics = metrics
         self._clock = clock
         self._stopping = stopping
-        self._waited = patience.Patience()
+        self._waited = deadline_history.DeadlineHistory()
         self._taken = 0
         self.in_flight = 0
         self.accepting = True
@@ -97,7 +97,7 @@
         self._taken += 1
         self.in_flight += 1
         route = None
-        head = self._codec.read_head(http.headers)
+        head = self._codec.parse_head(http.headers)
         try:
             found = await self._admit(http, head, began)
             if isinstance(found, kinds.Failure):
@@ -255,7 +255,7 @@
         return response
 
     def _whole(self, answer):
-        headers = self._codec.answer_headers(answer.headers)
+        headers = self._codec.response_headers(answer.headers)
         response = web.Response(
             status=answer.status,
             reason=answer.reason,
@@ -290,7 +290,9 @@
         retry_after = max(RETRY_SOON_S, failure.retry_after or 0.0)
         if failure.kind is kinds.Kind.DRAINING:
             retry_after = RETRY_NOW_S
-        response = answers.told(failure, head.request_id, retry_after)
+        response = error_responses.error_response(
+            failure, head.request_id, retry_after
+        )
         self._part(response)
         configuration = self._catalog.configuration
         self._journal.write(
--- a/sycamoreshed/gateway/tests/test_answers.py
+++ b/sycamoreshed/gateway/tests/test_error_responses.py
@@ -3,7 +3,7 @@
 import pytest
 
 from sycamoreshed.errors import kinds
-from sycamoreshed.gateway import answers
+from sycamoreshed.gateway import error_responses
 
 PROMISES = {408, 421, 429, 503}
 
@@ -15,7 +15,7 @@
     Told so by the status, the member's client would vote again.
     """
     failure = kinds.Failure(kind, "why", sent=True)
-    assert answers.status_of(failure) not in PROMISES
+    assert error_responses.status_of(failure) not in PROMISES
 
 
 @pytest.mark.parametrize(
@@ -40,12 +40,14 @@
 )
 def test_statuses(kind, sent, status):
     failure = kinds.Failure(kind, "why", sent=sent)
-    assert answers.status_of(failure) == status
+    assert error_responses.status_of(failure) == status
 
 
 def test_callers_hear_when_to_come_back():
     failure = kinds.Failure(kinds.Kind.HOPELESS, "busy")
-    told = answers.told(failure, "r-1", 0.25)
-    assert told.headers["Retry-After"] == "0.25"
-    sent = answers.told(failure._replace(sent=True), "r-1", 0.25)
+    response = error_responses.error_response(failure, "r-1", 0.25)
+    assert response.headers["Retry-After"] == "0.25"
+    sent = error_responses.error_response(
+        failure._replace(sent=True), "r-1", 0.25
+    )
     assert "Retry-After" not in sent.headers
--- a/sycamoreshed/platform/calls.py
+++ b/sycamoreshed/platform/calls.py
@@ -12,14 +12,14 @@
     "Head",
     "PieceResult",
     "Verdict",
-    "answer_headers",
-    "answers",
+    "classify_response",
+    "decode_piece_results",
     "forwarded_headers",
     "free_call",
-    "judge",
+    "matches_request",
+    "parse_head",
     "piece_call",
-    "read_head",
-    "read_pieces",
+    "response_headers",
 ]
 
 _JSON = {"Content-Type": "application/json"}
@@ -43,7 +43,7 @@
     prefix : tuple of (str, int)
         Parts of the prompt in order, with their tokens; requests share
         the first ones.
-    prompt_tokens, most_tokens : int
+    prompt_tokens, max_output_tokens : int
         Of the prompt, and the most that are generated.
     pieces : tuple of int
         Pieces that each stage of the route has; 0 leaves a stage out.
@@ -58,7 +58,7 @@
     key: str | None
     prefix: tuple
     prompt_tokens: int
-    most_tokens: int
+    max_output_tokens: int
     pieces: tuple
     piece_key: str | None
     last_event_id: str | None
@@ -70,14 +70,14 @@
     DONE = "done"
     NOT_RUN = "not-run"
     # Another endpoint has the address; the one meant is gone.
-    ELSEWHERE = "elsewhere"
+    MISDIRECTED = "elsewhere"
     FAILED = "failed"
     # A status that promises "not run" without the endpoint's word for
     # it: passed on it would tell the caller what may not be true.
-    UNSURE = "unsure"
+    UNCONFIRMED = "unsure"
 
 
-def read_head(headers):
+def parse_head(headers):
     """Return the `Head` of a request's headers.
 
     What cannot be read counts as left out: the endpoint judges it too.
@@ -94,7 +94,7 @@
         key=key,
         prefix=_prefix(headers.get(names.PREFIX, "")),
         prompt_tokens=tokens[0] if tokens else 0,
-        most_tokens=tokens[1] if len(tokens) > 1 else 0,
+        max_output_tokens=tokens[1] if len(tokens) > 1 else 0,
         pieces=_numbers(headers.get(names.PIECES, "")),
         piece_key=headers.get(names.PIECE_KEY),
         last_event_id=headers.get(names.LAST_EVENT_ID),
@@ -122,7 +122,7 @@
     *,
     team,
     endpoint,
-    left_s,
+    remaining_s,
     priority=None,
     inputs=None,
     last_event_id=None,
@@ -137,7 +137,7 @@
         Name of the caller's team.
     endpoint : str
         Id of the endpoint; any other one does not run the request.
-    left_s : float
+    remaining_s : float
         Seconds after which the endpoint is to stop work.
     priority : int, optional
         0 is the most urgent.
@@ -160,7 +160,7 @@
             and lower not in listed
         ):
             result.add(name, value)
-    result[names.DEADLINE_MS] = str(max(1, int(left_s * 1000)))
+    result[names.DEADLINE_MS] = str(max(1, int(remaining_s * 1000)))
     result[names.EXPECT_ENDPOINT] = endpoint
     if team is not None:
         result[names.TEAM] = team
@@ -173,7 +173,7 @@
     return result
 
 
-def answer_headers(headers, *, signed=True):
+def response_headers(headers, *, signed=True):
     """Return the headers of an endpoint's answer as a caller gets them.
 
     Parameters
@@ -193,20 +193,20 @@
     return result
 
 
-def answers(headers, request_id):
+def matches_request(headers, request_id):
     """Return whether an answer names a request, or names none."""
     named = headers.get(names.REQUEST_ID)
     return named is None or named == request_id
 
 
-def judge(status, headers):
+def classify_response(status, headers):
     """Return the `Verdict` of an endpoint's answer."""
     if status == _MISDIRECTED:
-        return Verdict.ELSEWHERE
+        return Verdict.MISDIRECTED
     if names.NOT_RUN in headers:
         return Verdict.NOT_RUN
     if status in _PROMISES:
-        return Verdict.UNSURE
+        return Verdict.UNCONFIRMED
     if status >= _FAILED:
         return Verdict.FAILED
     return Verdict.DONE
@@ -216,7 +216,7 @@
     """Result of one piece: where it lies, or why there is none."""
 
     handle: str | None
-    why: str | None
+    reason: str | None
 
 
 class _WireResult(msgspec.Struct):
@@ -259,7 +259,7 @@
     return names.STAGE_RUN, headers, msgspec.json.encode({"items": items})
 
 
-def read_pieces(raw):
+def decode_piece_results(raw):
     """Return a list of `PieceResult`, in the order asked for.
 
     Raises
--- a/sycamoreshed/platform/platform.py
+++ b/sycamoreshed/platform/platform.py
@@ -26,13 +26,13 @@
     }
     decode_configuration = staticmethod(records.decode_configuration)
     decode_endpoint = staticmethod(records.decode_endpoint)
-    read_head = staticmethod(calls.read_head)
+    parse_head = staticmethod(calls.parse_head)
     forwarded_headers = staticmethod(calls.forwarded_headers)
-    answer_headers = staticmethod(calls.answer_headers)
-    judge = staticmethod(calls.judge)
-    answers = staticmethod(calls.answers)
+    response_headers = staticmethod(calls.response_headers)
+    classify_response = staticmethod(calls.classify_response)
+    matches_request = staticmethod(calls.matches_request)
     piece_call = staticmethod(calls.piece_call)
-    read_pieces = staticmethod(calls.read_pieces)
+    decode_piece_results = staticmethod(calls.decode_piece_results)
     free_call = staticmethod(calls.free_call)
 
     def __init__(self, *, store):
--- a/sycamoreshed/platform/store.py
+++ b/sycamoreshed/platform/store.py
@@ -30,12 +30,12 @@
 class Changes(typing.NamedTuple):
     """Rows of a table and the store's version they are as of.
 
-    ``whole`` tells a full listing from what changed since a version.
+    ``is_full`` tells a full listing from what changed since a version.
     """
 
     rows: list
     version: int
-    whole: bool
+    is_full: bool
 
 
 class TableStore:
@@ -74,20 +74,20 @@
             if version is None:
                 version = reply["ver"]
             if not reply.get("has_more"):
-                return Changes(rows, version, whole=True)
+                return Changes(rows, version, is_full=True)
             # The next key after the last one in byte order.
             start = rows[-1].key + "\0"
 
-    async def changes(self, table, after, *, wait, slack):
+    async def wait_for_changes(self, table, after, *, wait_s, slack_s):
         """Wait for rows that changed after a version.
 
         Parameters
         ----------
         table : str
         after : int
-        wait : float
+        wait_s : float
             Seconds the store may hold the call.
-        slack : float
+        slack_s : float
             Seconds on top of that before the call counts as lost.
 
         Returns
@@ -98,12 +98,12 @@
         query = {
             "table": table,
             "after": str(after),
-            "wait_ms": str(int(wait * 1000)),
+            "wait_ms": str(int(wait_s * 1000)),
         }
-        reply = await self._get(names.ROWS_FEED, query, wait + slack)
+        reply = await self._get(names.ROWS_FEED, query, wait_s + slack_s)
         if reply is None or isinstance(reply, kinds.Failure):
             return reply
-        return Changes(_rows(reply), reply["ver"], whole=False)
+        return Changes(_rows(reply), reply["ver"], is_full=False)
 
     async def put(self, table, key, value, *, timeout):
         """Write a row whatever it held; return None or a `Failure`."""
--- a/sycamoreshed/platform/tests/test_calls.py
+++ b/sycamoreshed/platform/tests/test_calls.py
@@ -13,7 +13,7 @@
     sent = multidict.CIMultiDict(wiredata.head())
     sent.extend({k.replace("_", "-"): v for k, v in headers.items()})
     return calls.forwarded_headers(
-        sent, team="team-a", endpoint="i-1", left_s=1.5, priority=2
+        sent, team="team-a", endpoint="i-1", remaining_s=1.5, priority=2
     )
 
 
@@ -60,24 +60,24 @@
     [
         (200, False, calls.Verdict.DONE),
         (404, False, calls.Verdict.DONE),
-        (421, False, calls.Verdict.ELSEWHERE),
+        (421, False, calls.Verdict.MISDIRECTED),
         (503, True, calls.Verdict.NOT_RUN),
         (409, True, calls.Verdict.NOT_RUN),
-        (503, False, calls.Verdict.UNSURE),
-        (429, False, calls.Verdict.UNSURE),
-        (408, False, calls.Verdict.UNSURE),
+        (503, False, calls.Verdict.UNCONFIRMED),
+        (429, False, calls.Verdict.UNCONFIRMED),
+        (408, False, calls.Verdict.UNCONFIRMED),
         (500, False, calls.Verdict.FAILED),
         (504, False, calls.Verdict.FAILED),
     ],
 )
 def test_what_an_answer_says_of_the_request(status, says_not_run, verdict):
     headers = {"X-Sycamoreshed-Not-Executed": "1"} if says_not_run else {}
-    assert calls.judge(status, headers) is verdict
+    assert calls.classify_response(status, headers) is verdict
 
 
 @pytest.mark.parametrize("text", ["", "x", "1,x", ":3", "a:b,c"])
 def test_heads_that_cannot_be_read_count_as_left_out(text):
-    head = calls.read_head(
+    head = calls.parse_head(
         {
             "X-Sycamoreshed-Deadline-Ms": "x" + text,
             "X-Sycamoreshed-Token-Usage": text,
--- a/sycamoreshed/platform/tests/test_store.py
+++ b/sycamoreshed/platform/tests/test_store.py
@@ -35,7 +35,9 @@
     async with aiohttp.ClientSession() as session:
         client = stores.TableStore(session=session, address=store.address)
         whole = await client.read(TABLE, timeout=5.0)
-        later = await client.changes(TABLE, whole.version, wait=0.0, slack=5.0)
+        later = await client.wait_for_changes(
+            TABLE, whole.version, wait_s=0.0, slack_s=5.0
+        )
     await store.stop()
     pages = [path for path, _ in store.calls if path == names.ROWS_GET]
     assert len(pages) == 2
--- a/sycamoreshed/staging/batching.py
+++ b/sycamoreshed/staging/batching.py
@@ -306,7 +306,9 @@
     def _parse(self, batch, answer):
         now = self._clock()
         if answer.status != 200:
-            verdict = self._codec.judge(answer.status, answer.headers).value
+            verdict = self._codec.classify_response(
+                answer.status, answer.headers
+            ).value
             not_run = verdict in ("not-run", "elsewhere")
             status = f"status {answer.status}"
             self._health.record_failure(batch.endpoint, now, status)
@@ -317,7 +319,7 @@
                 status,
             )
         try:
-            received = self._codec.read_pieces(answer.body)
+            received = self._codec.decode_piece_results(answer.body)
         except msgspec.MsgspecError as err:
             self._health.record_failure(batch.endpoint, now, str(err))
             return _no_results(batch, "error", sent=True), str(err)
@@ -363,7 +365,7 @@
     ref = None
     if received.handle is not None:
         ref = pieces.ResultRef(received.handle, endpoint.id)
-    return pieces.PieceOutcome(ref, received.why, sent=True)
+    return pieces.PieceOutcome(ref, received.reason, sent=True)
 
 
 def _no_results(batch, reason, sent):
--- a/testkit/relayzone.py
+++ b/testkit/relayzone.py
@@ -59,22 +59,22 @@
         if failure is not None:
             return failure
         rows = self.store.newer(table, -1)
-        return stores.Changes(rows, self.store.version, whole=True)
+        return stores.Changes(rows, self.store.version, is_full=True)
 
-    async def changes(self, table, after, *, wait, slack):
+    async def wait_for_changes(self, table, after, *, wait_s, slack_s):
         """Wait for rows that changed."""
         clock = asyncio.get_running_loop().time
-        until = clock() + wait
-        failure = await self._failure(wait + slack)
+        until = clock() + wait_s
+        failure = await self._failure(wait_s + slack_s)
         if failure is not None:
             return failure
         while not self.store.newer(table, after) and clock() < until:
             await asyncio.sleep(0.01)
         if self.caller in self.store.ignores:
-            await asyncio.sleep(max(0.0, until + slack - clock()))
+            await asyncio.sleep(max(0.0, until + slack_s - clock()))
             return kinds.Failure(kinds.Kind.LATE, "no answer in time")
         rows = self.store.newer(table, after)
-        return stores.Changes(rows, self.store.version, whole=False)
+        return stores.Changes(rows, self.store.version, is_full=False)
 
     async def _failure(self, timeout):
         self.store.calls += 1
--- a/testkit/stagezone.py
+++ b/testkit/stagezone.py
@@ -67,7 +67,7 @@
         return "run", {}, list(items)
 
     @staticmethod
-    def read_pieces(raw):
+    def decode_piece_results(raw):
         """Return the results of a call."""
         return raw
 
@@ -116,7 +116,7 @@
 
 class _Result(typing.NamedTuple):
     handle: str | None
-    why: str | None
+    reason: str | None
 
 
 class Zone:
