--- a/sycamoreshed/catalog/catalog.py
+++ b/sycamoreshed/catalog/catalog.py
@@ -21,7 +21,7 @@
 
 
 class Peer(typing.NamedTuple):
-    """Another instance, as it registered itself.
+    """An instance, as it registered itself.
 
     Parameters
     ----------
--- a/sycamoreshed/catalog/peers.py
+++ b/sycamoreshed/catalog/peers.py
@@ -9,8 +9,8 @@
 
 # A peer that did not answer is skipped for this time, which doubles with each
 # failure up to the maximum.  Short enough that an instance restarted within
-# one or two seconds is used again soon, long enough that it does not delay
-# calls.
+# one or two seconds is used again soon, long enough that trying it does not
+# delay calls.
 MIN_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 8.0
 # Maximum number of peers of other zones, or seeds, in a sample.
--- a/sycamoreshed/catalog/registering.py
+++ b/sycamoreshed/catalog/registering.py
@@ -68,7 +68,7 @@
     """Remove the rows of instances that are presumed dead.
 
     Rows do not expire.  Without the removal each instance would try replaced
-    instances, and delay requests by it, for as long as it runs.
+    instances for as long as it runs, which delays requests.
     """
     codec = core.part("platform")
     for name in core.part("peers").dead():
