--- a/sycamoreshed/catalog/access.py
+++ b/sycamoreshed/catalog/access.py
@@ -28,7 +28,7 @@
 
     @property
     def changed(self):
-        """`Signal` that fires when calls for a table fail or recover."""
+        """`Signal` for each table that becomes unavailable or available."""
         return self._changed
 
     @property
@@ -60,7 +60,7 @@
             self._available.fire()
             self._changed.fire()
 
-    def is_probed(self, table):
+    def is_probed_elsewhere(self, table):
         """Return whether the calls for another table probe the store."""
         return (
             bool(self._unavailable_tables)
@@ -68,5 +68,5 @@
         )
 
     async def pause(self, seconds):
-        """Wait for a time, or until the store answers for some table."""
+        """Wait, at most until an unavailable table is available again."""
         await self._available.wait(seconds)
--- a/sycamoreshed/catalog/catalog.py
+++ b/sycamoreshed/catalog/catalog.py
@@ -105,7 +105,7 @@
 
     @property
     def changed(self):
-        """`Signal` that fires when rows of a table change."""
+        """`Signal` that fires for a newer full copy or changed rows."""
         return self._changed
 
     @property
@@ -122,19 +122,22 @@
         """Return the seconds since a table was last confirmed current."""
         return now - self._confirmed[table]
 
-    def confirm(self, table, at):
+    def mark_current(self, table, at):
         """Record that the copy of a table was current at a time."""
         self._confirmed[table] = max(self._confirmed[table], at)
 
     def endpoints(self, service, now):
-        """Return the endpoints of a service that accept new requests."""
+        """Return a service's endpoints, without those that are draining.
+
+        Includes retained endpoints that have no entry.
+        """
         if self._retained:
             self._expire(now)
         return self._by_service.get(service, ())
 
-    def endpoint(self, name):
+    def endpoint(self, endpoint_id):
         """Return the `Endpoint` with an id, or None."""
-        return self._endpoints.get(name)
+        return self._endpoints.get(endpoint_id)
 
     def remaining_grace_s(self, now):
         """Return the seconds for which missing endpoints are retained."""
@@ -217,6 +220,7 @@
             try:
                 endpoints[key] = self._decode_endpoint(key, raw)
             except (msgspec.MsgspecError, UnicodeDecodeError) as err:
+                # Logged once, when a known endpoint's row becomes invalid.
                 if key in previous:
                     self._journal.write(
                         "endpoint_bad", endpoint=key, why=str(err)
--- a/sycamoreshed/catalog/debounce.py
+++ b/sycamoreshed/catalog/debounce.py
@@ -2,7 +2,7 @@
 
 __all__ = ["Debounce"]
 
-# A call answered sooner than this returned changes made during the pause.
+# An answer sooner than this is taken to hold changes made during the pause.
 PROMPT_S = 0.1
 
 
--- a/sycamoreshed/catalog/following.py
+++ b/sycamoreshed/catalog/following.py
@@ -2,8 +2,9 @@
 
 Each table has a task that long-polls the store, unless another instance of
 the zone reads the store for this one.  While the store does not answer, the
-task polls peers for a newer copy instead: the store may reject this instance
-and still serve operators and other instances.
+task retries it and, without a reader, polls peers for a newer copy between the
+attempts: the store may reject this instance and still serve operators and
+other instances.
 """
 
 import asyncio
@@ -29,7 +30,8 @@
 PROBE_SLACK_S = 1.0
 # Reserved for reading the table again before the changes have to be known;
 # see `max_wait`.
-REREAD_S = 0.5
+REREAD_RESERVE_S = 0.5
+# Lower bound of the wait, even if the time limit is then exceeded.
 MIN_WAIT_S = 1.0
 # Peers' rows change when instances start; their changes are not urgent.
 PEERS_WAIT_S = 10.0
@@ -43,7 +45,8 @@
 # While changes keep arriving the pause doubles, up to this share of the time
 # within which a new configuration has to be known.
 MAX_PAUSE_SHARE = 0.2
-# Delay between attempts while the store fails; doubles up to the maximum.
+# Maximum delay between attempts while the store fails, before jitter; doubles
+# up to MAX_RETRY_S.
 RETRY_S = 0.1
 MAX_RETRY_S = 1.0
 # Between attempts of an instance whose reader probes the store as well; made
@@ -144,10 +147,10 @@
             is_full_read = False
 
     def _skips_probe(self):
-        """Return whether another task or the reader probes the store."""
+        """Return whether to leave the next probe to another task or reader."""
         if not self._is_failing:
             return False
-        if self._access.is_probed(self._table):
+        if self._access.is_probed_elsewhere(self._table):
             return True
         elapsed_s = self._clock() - self._called_at
         return self._access.is_relayed and elapsed_s < PROBE_INTERVAL_S
@@ -192,7 +195,7 @@
                 now,
                 source="store",
             )
-        self._catalog.confirm(self._table, now)
+        self._catalog.mark_current(self._table, now)
 
     def _on_failure(self, failure):
         self._access.mark_unavailable(self._table)
@@ -258,15 +261,16 @@
     the wait and the slack have to pass and the rows have to be read
     again.
 
-    The time within which a new configuration has to be known is not added:
-    it starts with the change, which may be as old as the disturbance.
+    The time within which a new configuration has to be known does not
+    extend this bound: it counts from the change, which may be as old as the
+    disturbance.
 
     Examples
     --------
     >>> max_wait(4.0)
     3.0
     """
-    return max(MIN_WAIT_S, stable_s - SLACK_S - REREAD_S)
+    return max(MIN_WAIT_S, stable_s - SLACK_S - REREAD_RESERVE_S)
 
 
 @kernel.plugin(
@@ -285,16 +289,18 @@
         return selector.wait_s(core.clock())
 
     for table, store_table in codec.tables.items():
-        peers = table == catalogs.PEERS
+        is_peers_table = table == catalogs.PEERS
         follower = Follower(
             table=table,
             store_table=store_table,
-            wait=(lambda: PEERS_WAIT_S) if peers else wait,
+            wait=(lambda: PEERS_WAIT_S) if is_peers_table else wait,
             debounce=debounces.Debounce(
-                min_s=PEERS_PAUSE_S if peers else MIN_PAUSE_S,
-                max_s=PEERS_PAUSE_S if peers else max_pause_s,
+                min_s=PEERS_PAUSE_S if is_peers_table else MIN_PAUSE_S,
+                max_s=PEERS_PAUSE_S if is_peers_table else max_pause_s,
             ),
-            full_read_pause_s=PEERS_PAUSE_S if peers else FULL_READ_PAUSE_S,
+            full_read_pause_s=PEERS_PAUSE_S
+            if is_peers_table
+            else FULL_READ_PAUSE_S,
             store=codec.store,
             catalog=core.part("catalog"),
             peers=core.part("peers"),
--- a/sycamoreshed/catalog/peers.py
+++ b/sycamoreshed/catalog/peers.py
@@ -8,9 +8,9 @@
 __all__ = ["PeerDirectory"]
 
 # A peer that did not answer is skipped for this time, which doubles with each
-# failure up to the maximum.  Short enough that an instance restarted within
-# one or two seconds is used again soon, long enough that trying it does not
-# delay calls.
+# failure up to the maximum; a row with a new boot time ends it.  The minimum
+# is short enough that an instance restarted within one or two seconds is used
+# again soon, and long enough that trying it does not delay calls.
 MIN_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 8.0
 # Maximum number of peers of other zones, or seeds, in a sample.
@@ -22,7 +22,8 @@
 DEAD_AFTER_S = 30.0
 
 
-# Share of the processor time of the zone's largest available instance.
+# Minimum cores of an eligible instance, as a share of those of the zone's
+# largest available instance.
 MIN_CORES_SHARE = 0.5
 
 
@@ -95,8 +96,8 @@
         ]
         self._rng.shuffle(local)
         self._rng.shuffle(remote)
-        # Includes other zones: whatever rejects this instance may reject
-        # its entire zone.
+        # Includes other zones: the store may reject the entire zone of this
+        # instance.
         return local[:1] + remote[:MAX_REMOTE_PEERS]
 
     def of_zone(self, zone, now):
@@ -109,10 +110,10 @@
         }
 
     def eligible(self, zone, now):
-        """Return the instances of `of_zone` that may work for the others.
+        """Return instances that may read the store or run stages for others.
 
-        Much smaller instances are excluded: they would slow down the entire
-        zone.
+        Selected from the instances of `of_zone`, in the same form.  Much
+        smaller instances are excluded: they would slow down the entire zone.
         """
         candidates = self._available(zone, now)
         largest = max((each.cores for _, each in candidates), default=0.0)
--- a/sycamoreshed/catalog/readerselection.py
+++ b/sycamoreshed/catalog/readerselection.py
@@ -2,7 +2,7 @@
 
 The reader is selected by rendezvous hashing over the instances that answer,
 without any messages.  Instances that see other candidates, or cannot reach
-the reader, use a second one for a while.
+the reader, may select another one, so a zone may briefly have several.
 """
 
 import typing
@@ -39,8 +39,9 @@
 
     Notes
     -----
-    The watchers of a reader that cannot reach the store may reach it
-    themselves, and have to know of a change within the usual time.
+    Watchers may reach the store when their reader cannot, and have to know
+    of a change within `apply_s` all the same.  This does not hold where
+    `MIN_WAIT_S` applies.
 
     Examples
     --------
@@ -67,7 +68,8 @@
         Seconds for which the store holds the calls of an instance that
         reads for itself only.
     reader_wait_s : float
-        Seconds for which the store holds a reader's calls.
+        Upper bound of the seconds for which the store holds a reader's
+        calls; `own_wait_s` if that is lower.
     """
 
     def __init__(self, *, own, zone, peers, own_wait_s, reader_wait_s):
@@ -81,7 +83,7 @@
 
     @property
     def max_wait_s(self):
-        """Maximum time for which the store may hold a call, in seconds."""
+        """Upper bound of `wait_s`, in seconds."""
         return max(self._own_wait_s, self._reader_wait_s)
 
     def reader(self, now):
--- a/sycamoreshed/catalog/relay.py
+++ b/sycamoreshed/catalog/relay.py
@@ -25,8 +25,8 @@
 # Time after the reader's longest call at the store until its copy counts as
 # stale.
 STALE_SLACK_S = 1.0
-# Delay before the next selection of a reader while there is none, and after an
-# update without tables.
+# Maximum delay before the next selection of a reader while there is none; also
+# the delay after an update without tables.
 CHECK_INTERVAL_S = 0.5
 
 
@@ -184,7 +184,8 @@
             return
         self._apply(update, reader, now)
         if not update.tables:
-            # A reader that returns no tables answers every request at once.
+            # `WatchServer` always returns tables; a reader that returns none
+            # would answer every request at once.
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _select_reader(self):
@@ -211,7 +212,8 @@
     def _on_failure(self, reader, why, now):
         self._journal.write("reader_lost", reader=reader, why=why)
         self._selector.record_failure(reader, now)
-        # The next reader may have missed the same changes.
+        # Read the store until a reader is up to date: the next one may lack
+        # the missed changes as well.
         self._access.is_relayed = False
         self._access.enable(True)
 
@@ -221,7 +223,7 @@
         self._access.is_relayed = True
         for each in update.tables:
             updates.apply_update(self._catalog, each, now, reader)
-            self._catalog.confirm(each.table, now - each.age_s)
+            self._catalog.mark_current(each.table, now - each.age_s)
         is_fresh = update.is_current and all(
             each.age_s <= self._stale_s
             for each in update.tables
--- a/sycamoreshed/catalog/replica.py
+++ b/sycamoreshed/catalog/replica.py
@@ -1,9 +1,9 @@
 """A copy of one table of the platform's store, as of a version.
 
-The store numbers its transactions with one counter, so a copy as of a
-higher version is newer in every row, whichever instance sent it.  Instances
-need no other coordination: each accepts any copy that is newer than its own,
-from the store or from a peer, and never an older one.
+The store numbers its transactions with one counter, so no row of a copy as
+of a higher version is older, whichever instance sent it.  Instances need no
+other coordination: each accepts any copy that is newer than its own, from the
+store or from a peer, and never an older one.
 """
 
 import typing
@@ -11,9 +11,9 @@
 __all__ = ["Copy", "Replica"]
 
 UNKNOWN = -1
-# Removed rows that are recorded for `Replica.changes`.
+# Maximum number of removed rows recorded for `Replica.changes`.
 MAX_TOMBSTONES = 1000
-# Gaps between full copies that are recorded for the same.
+# Maximum number of gaps before full copies recorded for `Replica.changes`.
 MAX_GAPS = 16
 
 
@@ -58,6 +58,7 @@
         self._changed_versions = {}
         self._tombstones = {}
         self._gaps = []
+        # Changes after this version are recorded, except within `_gaps`.
         self._complete_since = UNKNOWN
 
     @property
--- a/sycamoreshed/catalog/tests/test_catalog.py
+++ b/sycamoreshed/catalog/tests/test_catalog.py
@@ -110,7 +110,7 @@
 
 def test_update_has_rows_only_for_an_older_copy(catalog):
     catalog.replace("endpoints", endpoint_rows("a"), 5, 1.0, source="store")
-    catalog.confirm("endpoints", 1.0)
+    catalog.mark_current("endpoints", 1.0)
     update = updates.table_update(catalog, "endpoints", 4, 3.0)
     assert (update.version, set(update.rows), update.age_s) == (5, {"a"}, 2.0)
     assert updates.table_update(catalog, "endpoints", 5, 3.0).rows is None
@@ -134,6 +134,7 @@
             "endpoints", endpoint_rows("a", "b"), 5, 0.0, source="store"
         )
     other.on_store_recovered(10.0)
+    # The clocks of the two instances differ by 10 s.
     rows = [("a", None), ("b", None)]
     other.apply("endpoints", rows, 5, 6, 10.0, source="store")
     updates.apply_update(
--- a/sycamoreshed/catalog/tests/test_following.py
+++ b/sycamoreshed/catalog/tests/test_following.py
@@ -155,10 +155,9 @@
     """A new configuration is written just after the store drops its history.
 
     The store loses the pending calls, or their connections become
-    unresponsive.  An instance whose call is held for 5.4 s receives the
-    configuration only then, and until then answers 404 for routes that were
-    added 5 s before.  Its log has "history_gone" and the old
-    "configuration", and the new one 5.4 s later.
+    unresponsive.  A call held for longer than the stable time, such as 5.4 s
+    of 5 s, returns the configuration too late: until then the instance
+    answers 404 for routes that were added 5 s before.
     """
     wait = following.max_wait(stable_s)
     at = kind.at + 0.1
--- a/sycamoreshed/catalog/tests/test_peers.py
+++ b/sycamoreshed/catalog/tests/test_peers.py
@@ -83,7 +83,11 @@
 
 
 def test_peer_is_dead_only_after_a_long_failure(directory, catalog):
-    """Without this the row of a replaced instance would never be removed."""
+    """The row of a replaced instance must not stay for ever.
+
+    A shorter failure does not remove the row, and a restart clears the
+    failures.
+    """
     now = 0.0
     while now < peers.DEAD_AFTER_S - peers.MAX_BACKOFF_S:
         directory.record_failure("a", now, "no answer")
--- a/sycamoreshed/catalog/tests/test_relay.py
+++ b/sycamoreshed/catalog/tests/test_relay.py
@@ -139,7 +139,7 @@
 
 
 def test_unavailable_store_gets_few_calls():
-    """Otherwise each instance would call three times a second until then."""
+    """Otherwise each instance would make three calls a second in an outage."""
 
     async def scenario(zone):
         zone.store.refuses.update(zone.instances)
--- a/sycamoreshed/catalog/types.py
+++ b/sycamoreshed/catalog/types.py
@@ -51,8 +51,8 @@
     timeout_s : float
         Maximum time until the caller has the full answer.
     target_s : float
-        Time within which the answer (of a stream: its first event) has its
-        full value to the caller.
+        Latency target of the answer (of a stream: of its first event);
+        later answers are worth less.
     max_event_gap_s : float
         Maximum time between events of a stream that meets its target.
     priority : int
