--- a/sycamoreshed/pipeline/__init__.py
+++ b/sycamoreshed/pipeline/__init__.py
@@ -1,1 +1,1 @@
-"""Running a request through its stages."""
+"""Execution of admitted requests, stage by stage."""
--- a/sycamoreshed/pipeline/deadlines.py
+++ b/sycamoreshed/pipeline/deadlines.py
@@ -1,4 +1,4 @@
-"""What a stage may take of a request's remaining time."""
+"""Divide the remaining time of a request among its stages."""
 
 from sycamoreshed.routing import estimates
 
@@ -6,7 +6,7 @@
 
 
 def stage_budget(stages, index, deadline, now):
-    """Return the seconds stage `index` may take, by the shares it has.
+    """Return the seconds stage `index` may take by the configured shares.
 
     Parameters
     ----------
@@ -18,12 +18,12 @@
     Returns
     -------
     float
-        Zero or less when the time is over.
+        Zero or less once the deadline has passed.
 
     Notes
     -----
-    The remaining time is divided by the shares of the stages that are
-    left, so what early stages save is passed on to later ones.
+    The remaining time is divided by the shares of the remaining stages,
+    so later stages get the time that earlier ones saved.
 
     Examples
     --------
@@ -34,18 +34,22 @@
     4.0
     """
     even = 1.0 / len(stages)
-    left = sum(stage.get("share", even) for stage in stages[index:])
-    return (deadline - now) * stages[index].get("share", even) / left
+    remaining_shares = sum(
+        stage.get("share", even) for stage in stages[index:]
+    )
+    return (
+        (deadline - now) * stages[index].get("share", even) / remaining_shares
+    )
 
 
 class StageTimes:
-    """Measured times of stages, and what follows for their budgets."""
+    """Measured durations of stages, and the budgets they imply."""
 
     def __init__(self):
         self._times = {}
 
     def add(self, pipeline, stage, seconds, now):
-        """Take in how long a stage took that succeeded."""
+        """Record the duration of a successful run of a stage."""
         key = (pipeline, stage)
         if key not in self._times:
             self._times[key] = estimates.Estimate()
@@ -65,35 +69,35 @@
         Returns
         -------
         float
-            Zero or less when the time is over.
+            Zero or less once the deadline has passed.
 
         Notes
         -----
-        All the time that later stages will most likely not need may be
-        used, so that a slow early stage is not cut off while there is
-        slack.  It gets no less than its share when the later ones have
-        grown slow, or it alone would pay for them.
+        A stage may use all the time that later stages most likely do not
+        need, so a slow early stage is not cut off while there is slack.
+        It gets at least its share: otherwise it alone would pay when
+        later stages become slow.
         """
-        fair = stage_budget(stages, index, deadline, now)
+        share_s = stage_budget(stages, index, deadline, now)
         later = [
             self._times.get((pipeline, stage["name"]))
             for stage in stages[index + 1 :]
         ]
         if None in later:
-            return fair
-        need = sum(times.upper_bound(now) for times in later)
-        return max(fair, deadline - now - need)
+            return share_s
+        needed_s = sum(times.upper_bound(now) for times in later)
+        return max(share_s, deadline - now - needed_s)
 
-    def hopeless(self, pipeline, stages, index, deadline, now):
-        """Return whether the stages left take longer than there is.
+    def cannot_finish(self, pipeline, stages, index, deadline, now):
+        """Return whether the remaining stages would miss the deadline.
 
         Notes
         -----
-        Only by what few runs stay under: work that is given up wrongly
-        was paid for already.
+        Uses lower bounds, which few runs stay under: abandoning a request
+        wrongly wastes the work already done for it.
         """
-        need = 0.0
+        needed_s = 0.0
         for stage in stages[index:]:
             times = self._times.get((pipeline, stage["name"]))
-            need += times.lower_bound(now) if times else 0.0
-        return now + need > deadline
+            needed_s += times.lower_bound(now) if times else 0.0
+        return now + needed_s > deadline
--- a/sycamoreshed/pipeline/evidence.py
+++ b/sycamoreshed/pipeline/evidence.py
@@ -1,17 +1,17 @@
-"""What the outcome of one call says about its endpoint."""
+"""Report the outcomes of calls as evidence of endpoint health."""
 
 from sycamoreshed.errors import kinds
 
 __all__ = ["report"]
 
-# A call that was given less says nothing by being late.  A team could
-# otherwise have endpoints ejected for all others by asking with
-# deadlines that nobody can meet.
-LEAST_EVIDENCE_S = 0.5
+# A late call counts against its endpoint only if its time limit was at
+# least this long.  Otherwise a team could have endpoints ejected for all
+# other teams by sending deadlines that no endpoint can meet.
+MIN_LATE_LIMIT_S = 0.5
 
 
-def report(membership, endpoint, result, *, given_s, now, seconds=None):
-    """Pass the outcome of a call on to the membership.
+def report(membership, endpoint, result, *, limit_s, now, seconds=None):
+    """Report the outcome of a call to the membership.
 
     Parameters
     ----------
@@ -19,14 +19,15 @@
     endpoint : Endpoint
     result : StageAnswer or Failure
     given_s : float
-        Seconds the call might take.
+        Time limit of the call in seconds.
     now : float
         Monotonic seconds.
     seconds : float, optional
-        Time of the call, where callers have no part in it.
+        Duration of the call; omitted where a slow caller may have
+        prolonged it.
     """
-    failed = isinstance(result, kinds.Failure)
-    late = failed and result.kind == kinds.Kind.LATE
-    if late and given_s < LEAST_EVIDENCE_S:
+    has_failed = isinstance(result, kinds.Failure)
+    is_late = has_failed and result.kind == kinds.Kind.LATE
+    if is_late and limit_s < MIN_LATE_LIMIT_S:
         return
-    membership.report(endpoint, ok=not failed, now=now, seconds=seconds)
+    membership.report(endpoint, ok=not has_failed, now=now, seconds=seconds)
--- a/sycamoreshed/pipeline/hedges.py
+++ b/sycamoreshed/pipeline/hedges.py
@@ -1,59 +1,61 @@
-"""Second attempts while the first still runs, within the retry budget."""
+"""Hedging: move or duplicate slow attempts within the retry budget."""
 
 import asyncio
 
 from sycamoreshed.errors import kinds
 
-__all__ = ["MOVED", "Patience", "first_answer"]
+__all__ = ["MOVED", "FirstTokenTimeout", "first_answer"]
 
-# Returned for a stream that was ended to go elsewhere.  It says nothing
-# of the endpoint: in a burst all of them are slow.
+# Returned for a stream that was ended to continue on another endpoint.  It
+# does not count against the endpoint: in a burst all endpoints are slow.
 MOVED = kinds.Failure(kinds.Kind.LATE, "no token for long", sent=True)
 
 
-class Patience:
-    """Ends a stream that gave no token for long, so it can go elsewhere.
+class FirstTokenTimeout:
+    """End an attempt whose first chunk is late, so it can move elsewhere.
 
     Parameters
     ----------
     timer : asyncio.Timeout
-        Around the attempt.
-    seconds : float or None
-        None to wait as long as `timer` does.
+        The time limit of the attempt.
+    delay_s : float or None
+        Time to wait for the first chunk; None to wait as long as `timer`
+        allows.
     budget : RetryBudget
-        The attempt is ended only if another may be sent, which is paid
-        for at once.
+        The attempt is ended only if the budget allows another, which is
+        spent at the same time.
 
     Attributes
     ----------
     moved : bool
-        Whether it was ended.
+        Whether the attempt was ended to move elsewhere.
     """
 
-    def __init__(self, *, timer, seconds, budget):
+    def __init__(self, *, timer, delay_s, budget):
         self._timer = timer
         self._budget = budget
         self._handle = None
-        self._met = False
+        self._is_disarmed = False
         self.moved = False
         self._loop = asyncio.get_running_loop()
-        self._began = self._loop.time()
-        if seconds is not None:
-            self._handle = self._loop.call_later(seconds, self._expire)
+        self._started_at = self._loop.time()
+        if delay_s is not None:
+            self._handle = self._loop.call_later(delay_s, self._expire)
 
     @property
-    def waited(self):
-        """Seconds since the attempt began."""
-        return self._loop.time() - self._began
+    def elapsed_s(self):
+        """Seconds since the attempt started."""
+        return self._loop.time() - self._started_at
 
-    def met(self):
-        """Note a token; return whether it is the first.
+    def disarm(self):
+        """Stop the timeout; return whether this is the first call.
 
-        From now on the stream is waited for.
+        Called for each chunk and when the attempt ends: after the first
+        chunk the stream is no longer moved for being slow.
         """
         if self._handle is not None:
             self._handle.cancel()
-        first, self._met = not self._met, True
+        first, self._is_disarmed = not self._is_disarmed, True
         return first
 
     def _expire(self):
@@ -62,44 +64,44 @@
             self._timer.reschedule(self._loop.time())
 
 
-async def first_answer(start, start_other, *, seconds):
-    """Run an attempt, and another beside it if the first takes long.
+async def first_answer(start, start_hedge, *, delay_s):
+    """Run an attempt, and hedge it with a second one if it is slow.
 
     Parameters
     ----------
     start : coroutine function
         The first attempt; returns an answer or a failure.
-    start_other : callable
-        Returns a coroutine of a second attempt, or None when there may
-        be none.
-    seconds : float or None
-        How long the first is alone; None for ever.
+    start_hedge : callable
+        Returns a coroutine of the second attempt, or None if no second
+        attempt is allowed.
+    delay_s : float or None
+        Time after which the second attempt starts; None for never.
 
     Returns
     -------
     object
-        The first answer, else the failure that came last.
+        The first answer, else the last failure.
 
     Notes
     -----
-    Only for what may be repeated: both may take effect.
+    Only for calls that may be repeated: both attempts may take effect.
     """
-    if seconds is None:
+    if delay_s is None:
         return await start()
     tasks = {asyncio.ensure_future(start())}
     try:
-        done, _ = await asyncio.wait(tasks, timeout=seconds)
-        other = None if done else start_other()
-        if other is not None:
-            tasks.add(asyncio.ensure_future(other))
-        return await _first_whole(tasks)
+        done, _ = await asyncio.wait(tasks, timeout=delay_s)
+        hedge = None if done else start_hedge()
+        if hedge is not None:
+            tasks.add(asyncio.ensure_future(hedge))
+        return await _first_success(tasks)
     finally:
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _first_whole(tasks):
+async def _first_success(tasks):
     pending = tasks
     while True:
         done, pending = await asyncio.wait(
--- a/sycamoreshed/pipeline/requests.py
+++ b/sycamoreshed/pipeline/requests.py
@@ -1,4 +1,4 @@
-"""Requests as the instance carries them from admission to answer."""
+"""Internal representation of requests, from admission to answer."""
 
 import typing
 
@@ -12,7 +12,8 @@
     ----------
     id, team, pipeline : str
     config : Config
-        The version in force when it was admitted; it keeps it.
+        The configuration in force at admission; later versions do not
+        affect the request.
     deadline : float
         Monotonic seconds.
     body : object
@@ -20,10 +21,10 @@
     key : str or None
         The caller's ``Idempotency-Key``.
     priority : int
-        Lower goes first within a team.
+        Lower values go first within a team.
     repeat : bool or None
-        Whether an earlier request with the key may have run, as far as
-        the caller knows; None if the caller does not tell.
+        Whether an earlier request with the key may have run according to
+        the caller; None if the caller did not state it.
     """
 
     id: str
@@ -38,12 +39,12 @@
 
     @property
     def spec(self):
-        """The `PipelineSpec` the request was admitted under."""
+        """The `PipelineSpec` that was in force at admission."""
         return self.config.sections["pipelines"][self.pipeline]
 
 
 class Complete(typing.NamedTuple):
-    """A whole answer.
+    """The complete answer to a request.
 
     Parameters
     ----------
--- a/sycamoreshed/pipeline/runner.py
+++ b/sycamoreshed/pipeline/runner.py
@@ -1,4 +1,4 @@
-"""Runs an admitted request through the stages of its pipeline."""
+"""Run an admitted request through the stages of its pipeline."""
 
 from sycamoreshed.admission import budget as budgets
 from sycamoreshed.errors import kinds
@@ -12,7 +12,7 @@
 
 
 def unrepeatable_stage(config, pipeline):
-    """Return the stage of a pipeline that may not be repeated, or None."""
+    """Return the first stage that must not be repeated, or None."""
     services = config.sections["services"]
     for stage in config.sections["pipelines"][pipeline]["stages"]:
         if not services[stage["service"]].get("repeatable", True):
@@ -21,7 +21,7 @@
 
 
 class Runner:
-    """Runs pipelines.
+    """Run the stages of pipelines.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
         self._unary = unary_stage
         self._streamed = streamed_stage
         self._metrics = metrics
-        self._times = deadlines.StageTimes()
+        self._stage_times = deadlines.StageTimes()
 
     async def run(self, request, *, emit=None, gate=None):
         """Run all stages in order.
@@ -45,37 +45,41 @@
         ----------
         request : Request
         emit : coroutine function, optional
-            Takes offset and token of the last stage.
+            Receives offset and token of each token of the last stage, if
+            that is streamed.
         gate : object, optional
-            Stands before the stage that may not be repeated.  Its
-            coroutine ``before()`` returns None, or what ends the run;
-            ``after(result)`` returns the result to go on with.
+            Hooks around the stage that must not be repeated.  The
+            coroutine ``before()`` returns None, or a result that ends the
+            run; the coroutine ``after(result)`` returns the result to
+            continue with.
 
         Returns
         -------
         Complete or Failure
-            A failure's ``sent`` tells whether the stage that may not be
-            repeated may have run, if there is one; else whether any did.
+            The result of ``gate.before()`` if that ends the run.  The
+            ``sent`` of a failure of a stage tells whether the stage that
+            must not be repeated may have run, or, if the pipeline has no
+            such stage, whether any stage may have run.
         """
         stages = request.spec["stages"]
         critical = unrepeatable_stage(request.config, request.pipeline)
         payload = request.body
         sent = False
         for index, stage in enumerate(stages):
-            last = index + 1 == len(stages)
-            guarded = gate is not None and stage is critical
-            if guarded:
-                end = await gate.before()
-                if end is not None:
-                    return end
+            is_last = index + 1 == len(stages)
+            is_gated = gate is not None and stage is critical
+            if is_gated:
+                early_result = await gate.before()
+                if early_result is not None:
+                    return early_result
             result = await self._run_stage(
-                request, index, payload, emit if last else None
+                request, index, payload, emit if is_last else None
             )
-            if guarded:
+            if is_gated:
                 result = await gate.after(result)
             if isinstance(result, kinds.Failure):
-                counts = critical in (None, stage)
-                sent = sent or (result.sent and counts)
+                is_relevant = critical in (None, stage)
+                sent = sent or (result.sent and is_relevant)
                 reason = f"stage {stage['name']}: {result.reason}"
                 return result._replace(reason=reason, sent=sent)
             sent = sent or critical in (None, stage)
@@ -87,38 +91,38 @@
         now = self._clock()
         stages = request.spec["stages"]
         stage = stages[index]
-        ends = (request.pipeline, stages, index, request.deadline, now)
-        if index and self._times.hopeless(*ends):
+        timing = (request.pipeline, stages, index, request.deadline, now)
+        if index and self._stage_times.cannot_finish(*timing):
             return kinds.Failure(
                 kinds.Kind.LATE, "less time left than it takes"
             )
-        seconds = self._times.budget(*ends)
+        budget_s = self._stage_times.budget(*timing)
         service = request.config.entry("services", stage["service"])
         timer = self._metrics.stage_seconds.labels(
             request.pipeline, stage["name"]
         )
         try:
-            # No timeout here: it would cut off the stage where only the
-            # stage knows whether a call was sent.  Both kinds of stage
-            # end by the time they are given.
+            # No timeout here: it would cancel the stage, and only the
+            # stage can tell whether a call was sent.  Both kinds of stage
+            # end by their deadline.
             if service["kind"] == "engine":
                 result = await self._streamed.run(
-                    request, stage, payload, now + seconds, emit=emit
+                    request, stage, payload, now + budget_s, emit=emit
                 )
             else:
                 result = await self._unary.run(
                     request,
                     stage,
                     payload,
-                    now + seconds,
+                    now + budget_s,
                     repeatable=service.get("repeatable", True),
                 )
         finally:
-            ended = self._clock()
-            timer.observe(ended - now)
+            ended_at = self._clock()
+            timer.observe(ended_at - now)
         if not isinstance(result, kinds.Failure):
-            self._times.add(
-                request.pipeline, stage["name"], ended - now, ended
+            self._stage_times.add(
+                request.pipeline, stage["name"], ended_at - now, ended_at
             )
         return result
 
@@ -127,7 +131,7 @@
     "runner", needs=("endpoints", "membership", "metrics", "router")
 )
 async def runner(core):
-    """Provide the runner of pipelines."""
+    """Provide the pipeline runner."""
     parts = {
         "clock": core.clock,
         "client": core.part("endpoints"),
--- a/sycamoreshed/pipeline/streamed.py
+++ b/sycamoreshed/pipeline/streamed.py
@@ -1,4 +1,4 @@
-"""One streamed stage: offsets, gaps, and resuming on another engine."""
+"""Run a streamed stage: check token offsets, resume on another engine."""
 
 import contextlib
 import uuid
@@ -14,23 +14,24 @@
 
 __all__ = ["StreamedStage", "prefix_of"]
 
-# In a row without a single new token; a long answer may break more often.
-MOST_FRUITLESS = 3
+# Failed attempts in a row.  An attempt that added tokens starts a new row,
+# so a long answer may break more often.
+MAX_FAILED_ATTEMPTS = 3
 PREFIX_BYTES = 256
 
 
 def prefix_of(payload):
-    """Return a hash of the beginning of a prompt.
+    """Return a hash of the first bytes of a prompt.
 
-    Equal beginnings give equal hashes on every instance, which is what
-    lets them find the same engine without a message.
+    Equal beginnings give equal hashes on every instance, so instances
+    choose the same engine without exchanging messages.
     """
     raw = msgspec.json.encode(payload)
     return xxhash.xxh3_64_hexdigest(raw[:PREFIX_BYTES])
 
 
 class StreamedStage:
-    """Runs streamed calls of stages.
+    """Run the streamed calls of stages.
 
     Parameters
     ----------
@@ -46,13 +47,13 @@
         self._budget = budget
         self._metrics = metrics
 
-    async def run(self, request, stage, payload, until, *, emit=None):
-        """Run a stage by `until`, passing tokens on as they come.
+    async def run(self, request, stage, payload, deadline, *, emit=None):
+        """Run a stage by `deadline`, emitting tokens as they arrive.
 
         Parameters
         ----------
         emit : coroutine function, optional
-            Takes offset and token, in order and without gaps.
+            Receives offset and token, in order and without gaps.
 
         Returns
         -------
@@ -65,10 +66,10 @@
         tokens = []
         tried = set()
         sent = False
-        fruitless = 0
+        failed_attempts = 0
         while True:
             now = self._clock()
-            if now >= until:
+            if now >= deadline:
                 return kinds.Failure(kinds.Kind.LATE, "no time left", sent)
             endpoint = self._router.choose(
                 request, stage, now, avoid=tried, prefix=prefix
@@ -77,23 +78,23 @@
                 reason = f"no endpoint of {stage['service']}"
                 return kinds.Failure(kinds.Kind.NO_ENDPOINT, reason, sent)
             tried.add(endpoint.name)
-            had = len(tokens)
+            start_offset = len(tokens)
             call = adapters.Call(
                 request=request.id,
                 stage=stage["name"],
                 attempt=uuid.uuid4().hex,
-                deadline_ms=(until - now) * 1000,
+                deadline_ms=(deadline - now) * 1000,
                 payload=payload,
                 priority=request.priority,
-                offset=had,
+                offset=start_offset,
                 prefix=prefix,
                 adapter=stage.get("adapter"),
             )
-            patience = None
+            hedge_delay_s = None
             if len(tried) == 1:
-                patience = self._router.loads.hedge_delay_s(endpoint, now)
+                hedge_delay_s = self._router.loads.hedge_delay_s(endpoint, now)
             result = await self._attempt(
-                endpoint, call, until, tokens, emit, patience
+                endpoint, call, deadline, tokens, emit, hedge_delay_s
             )
             if not isinstance(result, kinds.Failure):
                 self._metrics.count_crossing(request, stage, endpoint, result)
@@ -102,38 +103,45 @@
             if result is hedges.MOVED:
                 self._metrics.retries.labels(stage["name"], "moved").inc()
                 continue
-            fruitless = 1 if len(tokens) > had else fruitless + 1
-            if fruitless >= MOST_FRUITLESS or not self._budget.try_spend():
+            failed_attempts = (
+                1 if len(tokens) > start_offset else failed_attempts + 1
+            )
+            if (
+                failed_attempts >= MAX_FAILED_ATTEMPTS
+                or not self._budget.try_spend()
+            ):
                 return result._replace(sent=sent)
             self._metrics.retries.labels(stage["name"], result.kind).inc()
 
-    async def _attempt(self, endpoint, call, until, tokens, emit, patience):
-        began = self._clock()
+    async def _attempt(
+        self, endpoint, call, deadline, tokens, emit, hedge_delay_s
+    ):
+        started_at = self._clock()
         self._router.loads.record_start(endpoint)
-        # Stands for what is known if the attempt is cancelled from outside.
+        # The recorded result if the attempt is cancelled from outside.
         result = kinds.Failure(kinds.Kind.INTERNAL, "cancelled", sent=True)
         try:
-            # The client bounds each wait for the engine; this bounds also
-            # the waits for a caller that reads slowly.
-            async with limits.limit(until - began) as timer:
-                first = hedges.Patience(
+            # The client limits each wait for the engine; this limit also
+            # covers the time a slow caller takes to read.
+            async with limits.limit(deadline - started_at) as timer:
+                first_token = hedges.FirstTokenTimeout(
                     timer=timer,
-                    seconds=patience,
+                    delay_s=hedge_delay_s,
                     budget=self._budget,
                 )
                 result = await self._read(
-                    endpoint, call, until, tokens, emit, first
+                    endpoint, call, deadline, tokens, emit, first_token
                 )
         except TimeoutError:
             result = kinds.Failure(
                 kinds.Kind.LATE, "stream not whole in time", sent=True
             )
-            if first.moved:
+            if first_token.moved:
                 result = hedges.MOVED
         finally:
-            first.met()
+            first_token.disarm()
             self._router.record_result(
-                endpoint, call, result, began, self._clock()
+                endpoint, call, result, started_at, self._clock()
             )
             if isinstance(result, kinds.Failure) and result.sent:
                 await adapters.cancel_quietly(self._client, endpoint, call)
@@ -143,31 +151,31 @@
             self._membership,
             endpoint,
             result,
-            given_s=call.deadline_ms / 1000,
+            limit_s=call.deadline_ms / 1000,
             now=self._clock(),
         )
         return result
 
-    async def _read(self, endpoint, call, until, tokens, emit, first):
-        timeout = until - self._clock()
+    async def _read(self, endpoint, call, deadline, tokens, emit, first_token):
+        timeout = deadline - self._clock()
         chunks = self._client.stream(endpoint, call, timeout=timeout)
         async with contextlib.aclosing(chunks):
             async for chunk in chunks:
                 if isinstance(chunk, kinds.Failure):
                     return chunk
-                if first.met():
+                if first_token.disarm():
                     self._router.loads.observe_first_output(
-                        endpoint, first.waited, self._clock()
+                        endpoint, first_token.elapsed_s, self._clock()
                     )
-                fault = await self._take(chunk, tokens, emit)
-                if fault is not None:
-                    return fault
+                failure = await self._accept(chunk, tokens, emit)
+                if failure is not None:
+                    return failure
                 if chunk.finish is not None:
                     text = "".join(tokens)
                     return adapters.StageAnswer(text, chunk.size)
         return kinds.Failure(kinds.Kind.BROKEN_STREAM, "ended", sent=True)
 
-    async def _take(self, chunk, tokens, emit):
+    async def _accept(self, chunk, tokens, emit):
         if chunk.offset > len(tokens):
             reason = f"gap before offset {chunk.offset}"
             return kinds.Failure(kinds.Kind.BROKEN_STREAM, reason, sent=True)
--- a/sycamoreshed/pipeline/tests/test_deadlines.py
+++ b/sycamoreshed/pipeline/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""What stages may take, by shares and by measured times."""
+"""Time budgets of stages by shares and by measured durations."""
 
 import pytest
 
@@ -22,14 +22,15 @@
 @pytest.mark.parametrize(
     ("seconds", "index", "budget"),
     [
-        # Nothing measured: by shares of what is left.
+        # Later stages not all measured: the remaining time is divided by
+        # shares.
         ({}, 0, 1.0),
         ({"rerank": 0.5}, 0, 1.0),
-        # What later stages need is kept for them, the rest may be used.
+        # The time that later stages need is reserved, the rest may be used.
         ({"rerank": 0.5, "generate": 1.5}, 0, 8.0),
         ({"generate": 4.0}, 1, 6.0),
         ({}, 2, 10.0),
-        # Slow later stages do not take all of it.
+        # A stage keeps its share when later stages are slow.
         ({"rerank": 5.0, "generate": 20.0}, 0, 1.0),
     ],
 )
@@ -40,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("seconds", "deadline", "hopeless"),
+    ("seconds", "deadline", "expected"),
     [
         ({}, 2.5, False),
         ({}, 1.9, True),
@@ -48,16 +49,17 @@
         ({"generate": 1.0}, 3.5, False),
     ],
 )
-def test_hopeless(seconds, deadline, hopeless):
+def test_cannot_finish(seconds, deadline, expected):
     times = measured(**seconds)
-    assert times.hopeless("summary", STAGES, 2, deadline, 2.0) is hopeless
+    assert times.cannot_finish("summary", STAGES, 2, deadline, 2.0) is expected
 
 
-def test_slow_times_are_forgotten():
-    """A stage was slow for a while; nothing runs it since.
+def test_slow_times_expire():
+    """Measured durations of a slow stage lose their weight with age.
 
-    Would it still count, every request would be ended before it.
+    Otherwise every request would be ended before the stage, and no new
+    duration could be measured.
     """
     times = measured(generate=3.0)
-    assert times.hopeless("summary", STAGES, 2, 4.0, 2.0)
-    assert not times.hopeless("summary", STAGES, 2, 32.0, 30.0)
+    assert times.cannot_finish("summary", STAGES, 2, 4.0, 2.0)
+    assert not times.cannot_finish("summary", STAGES, 2, 32.0, 30.0)
--- a/sycamoreshed/pipeline/tests/test_hedges.py
+++ b/sycamoreshed/pipeline/tests/test_hedges.py
@@ -1,4 +1,4 @@
-"""Second attempts: only when slow, only once, only if repeatable."""
+"""Hedging: only slow attempts, only once, only if repeatable."""
 
 import asyncio
 import time
@@ -29,29 +29,29 @@
         (FAILED, FAILED, FAILED),
     ],
 )
-async def test_first_whole_answer_counts(first, second, expected):
-    """A value of None stands for an attempt that never ends."""
+async def test_first_complete_answer_is_returned(first, second, expected):
+    """None stands for an attempt that never ends."""
     never, slow = asyncio.Event(), asyncio.Event()
 
     async def start():
         return await after(never if first is None else slow, first)
 
-    def other():
+    def hedge():
         slow.set()
         return after(never if second is None else slow, second)
 
     async with asyncio.timeout(5):
-        got = await hedges.first_answer(start, other, seconds=0.001)
+        got = await hedges.first_answer(start, hedge, delay_s=0.001)
     assert got == expected
     assert len(asyncio.all_tasks()) == 1
 
 
-@pytest.mark.parametrize("seconds", [None, 60.0])
-async def test_no_second_attempt_without_need(seconds):
+@pytest.mark.parametrize("delay_s", [None, 60.0])
+async def test_fast_attempt_is_not_hedged(delay_s):
     async def start():
         return "a"
 
-    got = await hedges.first_answer(start, pytest.fail, seconds=seconds)
+    got = await hedges.first_answer(start, pytest.fail, delay_s=delay_s)
     assert got == "a"
 
 
@@ -60,7 +60,9 @@
     budget = budgets.RetryBudget(share=0.0, reserve=reserve)
     try:
         async with asyncio.timeout(0.2) as timer:
-            patience = hedges.Patience(timer=timer, seconds=0.0, budget=budget)
+            patience = hedges.FirstTokenTimeout(
+                timer=timer, delay_s=0.0, budget=budget
+            )
             await asyncio.Event().wait()
     except TimeoutError:
         pass
@@ -69,7 +71,7 @@
 
 
 class SlowFirst:
-    """A client whose first endpoint does not answer."""
+    """A client whose first endpoint hangs."""
 
     def __init__(self):
         self.called = []
@@ -94,8 +96,8 @@
         (False, 10.0, ["encoder-1"]),
     ],
 )
-async def test_slow_call_is_hedged_if_it_may_be(repeatable, reserve, names):
-    """One endpoint hangs; without a second call its caller is late."""
+async def test_slow_call_is_hedged_if_allowed(repeatable, reserve, names):
+    """One endpoint hangs; without a second call the answer is late."""
     parts = fakes.stage_parts()
     client = parts["client"] = SlowFirst()
     parts["budget"] = budgets.RetryBudget(share=0.0, reserve=reserve)
--- a/sycamoreshed/pipeline/tests/test_runner.py
+++ b/sycamoreshed/pipeline/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""Running stages in order, and the truth of the outcome."""
+"""Order of stages, and whether a failure reports that one may have run."""
 
 import time
 
@@ -20,13 +20,13 @@
 
 
 class Stages:
-    """Both kinds of stage; returns results by the stage's name."""
+    """Fake for both kinds of stage; returns results by stage name."""
 
     def __init__(self, **results):
         self._results = results
         self.ran = []
 
-    async def run(self, _request, stage, _payload, _until, **_options):
+    async def run(self, _request, stage, _payload, _deadline, **_options):
         self.ran.append(stage["name"])
         return self._results.get(stage["name"], GOOD)
 
@@ -43,7 +43,7 @@
 
 
 async def run(stages, *services):
-    """Run a pipeline over some services."""
+    """Run a pipeline with one stage per service."""
     part = runner.Runner(
         clock=time.monotonic,
         unary_stage=stages,
@@ -66,12 +66,13 @@
         (["encoder", "ballot", "encoder"], "s2", UNSENT, True),
     ],
 )
-async def test_failure_tells_whether_what_matters_ran(
+async def test_failure_reports_whether_decisive_stage_may_have_run(
     services, failing, failure, sent
 ):
-    """A stage fails before, at or after the one that counts.
+    """A stage fails before, at or after the one that must not be repeated.
 
-    A member told "not run" votes again: that must not make two votes.
+    A caller told "not run" sends its vote again, which must not be
+    counted twice.
     """
     stages = Stages(**{failing: failure})
     result = await run(stages, *services)
@@ -80,12 +81,12 @@
     assert stages.ran[-1] == failing
 
 
-async def test_whole_answer_names_its_stages():
+async def test_complete_answer_names_its_stages():
     result = await run(Stages(), "encoder", "language")
     assert result == requests.Complete("out", ("s0", "s1"))
 
 
-def test_stage_name_used_twice_is_refused():
+def test_duplicate_stage_name_is_rejected():
     spec = {
         "stages": [{"name": "a", "service": "encoder"}] * 2,
         "deadline_ms": 10,
--- a/sycamoreshed/pipeline/tests/test_streamed.py
+++ b/sycamoreshed/pipeline/tests/test_streamed.py
@@ -1,4 +1,4 @@
-"""Streamed stages: offsets, resuming, deadlines."""
+"""Streamed stages: token offsets, resuming and deadlines."""
 
 import asyncio
 import time
@@ -13,12 +13,12 @@
 STAGE = {"name": "generate", "service": "encoder"}
 REFUSED = kinds.Failure(kinds.Kind.REFUSED, "no connection")
 CUT = kinds.Failure(kinds.Kind.BROKEN_STREAM, "cut", sent=True)
-WHOLE = "0 1 2 3 4 5 "
+FULL_TEXT = "0 1 2 3 4 5 "
 chunks = fakes.chunks
 
 
 async def run(parts, *, seconds=60.0, emit=None):
-    """Run one stage; the deadline is in so many seconds."""
+    """Run one stage with a deadline `seconds` from now."""
     return await streamed.StreamedStage(**parts).run(
         fakes.request(seconds=seconds),
         STAGE,
@@ -39,30 +39,31 @@
         ([chunks(0, 4, finish=6), chunks(4, 6, finish=6)], [0, 4]),
         ([chunks(0, 6, finish=5), chunks(6, 6, finish=6)], [0, 6]),
         ([[REFUSED], [CUT], chunks(0, 6, finish=6)], [0, 0, 0]),
-        # Each attempt gets on by a token, so it is worth going on.
+        # Each attempt adds a token, so more than the usual number of
+        # attempts is allowed.
         (
             [[*chunks(n, n + 1), CUT] for n in range(5)]
             + [chunks(5, 6, finish=6)],
             [0, 1, 2, 3, 4, 5],
         ),
-        # Starts over although asked to resume.
+        # The engine starts over although asked to resume.
         ([[*chunks(0, 2), CUT], chunks(0, 6, finish=6)], [0, 2]),
     ],
 )
-async def test_becomes_whole(script, offsets):
-    """Engines cut, leave out, repeat, or finish too early.
+async def test_stream_is_completed(script, offsets):
+    """Engines cut a stream, skip or repeat tokens, or finish too early.
 
-    A reader would see a summary with holes or words twice.
+    The caller must not see gaps or duplicate tokens.
     """
     parts = fakes.stage_parts(*script)
-    seen = []
+    emitted = []
 
     async def emit(offset, token):
-        seen.append((offset, token))
+        emitted.append((offset, token))
 
     result = await run(parts, emit=emit)
-    assert result.output == WHOLE
-    assert seen == [(number, f"{number} ") for number in range(6)]
+    assert result.output == FULL_TEXT
+    assert emitted == [(number, f"{number} ") for number in range(6)]
     assert [call.offset for call in parts["client"].calls] == offsets
 
 
@@ -76,7 +77,7 @@
         ([[*chunks(0, 2), ...]], 0.3, kinds.Kind.LATE, True),
     ],
 )
-async def test_failures_tell_whether_anything_was_sent(
+async def test_failure_reports_whether_anything_was_sent(
     script, seconds, kind, sent
 ):
     parts = fakes.stage_parts(*script)
@@ -87,9 +88,10 @@
 
 
 async def test_slow_reader_does_not_outlive_the_deadline():
-    """A caller stops reading its stream but keeps the connection.
+    """A caller stops reading its stream but keeps the connection open.
 
-    Its engine's slot would be held until it reads again.
+    Without the deadline its engine slot would be occupied until it reads
+    again.
     """
     parts = fakes.stage_parts([*chunks(0, 6, finish=6)])
 
@@ -102,8 +104,8 @@
     assert len(parts["client"].cancelled) == 1
 
 
-async def test_caller_that_vanishes_is_told_from_a_broken_engine():
-    """Writing to the caller fails; the engine is not to blame."""
+async def test_disconnected_caller_is_not_counted_against_the_engine():
+    """Writing to the caller fails; this is no fault of the engine."""
     parts = fakes.stage_parts(chunks(0, 6, finish=6))
 
     async def emit(_offset, _token):
@@ -117,7 +119,7 @@
     assert not parts["router"].loads._in_flight
 
 
-async def test_duplicates_are_counted():
+async def test_duplicate_tokens_are_counted():
     script = [*chunks(0, 3), *chunks(1, 6, finish=6)]
     parts = fakes.stage_parts(script)
     await run(parts)
--- a/sycamoreshed/pipeline/tests/test_unary.py
+++ b/sycamoreshed/pipeline/tests/test_unary.py
@@ -19,7 +19,7 @@
 
 
 async def run(parts, *, seconds=60.0, repeatable=True):
-    """Run one stage; the deadline is in so many seconds."""
+    """Run one stage with a deadline `seconds` from now."""
     return await unary.UnaryStage(**parts).run(
         fakes.request(seconds=seconds),
         STAGE,
@@ -47,9 +47,10 @@
     ],
 )
 async def test_outcomes(script, repeatable, calls, kind, sent):
-    """Calls fail in all the ways there are.
+    """Retries and results for calls that fail in different ways.
 
-    A member who is told that a ballot was not run casts it again.
+    A caller told that its ballot was not run casts it again, so ``sent``
+    must be true if any attempt may have run.
     """
     parts = fakes.stage_parts(*script)
     result = await run(parts, repeatable=repeatable)
@@ -82,10 +83,11 @@
     assert len(parts["client"].calls) == len(script)
 
 
-async def test_lateness_of_hasty_calls_is_no_evidence():
-    """A team asks with deadlines nobody can meet.
+async def test_late_calls_with_short_limits_are_not_reported():
+    """A team sends deadlines that no endpoint can meet.
 
-    All other teams would lose the endpoint.
+    Reported, its late calls would have the endpoint ejected for all other
+    teams.
     """
     parts = fakes.stage_parts(...)
     await run(parts, seconds=0.3)
@@ -101,7 +103,7 @@
 
 
 async def test_cancelled_stage_sends_a_cancel_and_does_not_wait_for_it():
-    """A caller goes away while the endpoint neither answers nor hears."""
+    """A caller disconnects while its endpoint is unresponsive."""
     parts = fakes.stage_parts(...)
     parts["client"].cancel_hangs = True
     task = asyncio.create_task(run(parts))
--- a/sycamoreshed/pipeline/unary.py
+++ b/sycamoreshed/pipeline/unary.py
@@ -1,4 +1,4 @@
-"""One unary stage: attempts, retries, and what an attempt's end means."""
+"""Run a unary stage: attempts, retries, hedges and their outcomes."""
 
 import asyncio
 import functools
@@ -12,15 +12,16 @@
 
 __all__ = ["UnaryStage"]
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 BACKOFF_S = 0.02
-# An engine that dies at once is retried at once elsewhere; a retry that
-# cannot end in time would only load the endpoint.
-LEAST_TIME_S = 0.005
+# A call whose endpoint fails at once is retried on another with little
+# delay.  With less time than this a call cannot end in time and would only
+# load the endpoint.
+MIN_TIME_S = 0.005
 
 
 class UnaryStage:
-    """Runs unary calls of stages.
+    """Run the unary calls of stages.
 
     Parameters
     ----------
@@ -36,8 +37,8 @@
         self._budget = budget
         self._metrics = metrics
 
-    async def run(self, request, stage, payload, until, *, repeatable):
-        """Run a stage by `until` (monotonic seconds).
+    async def run(self, request, stage, payload, deadline, *, repeatable):
+        """Run a stage by `deadline` (monotonic seconds).
 
         Returns
         -------
@@ -46,9 +47,9 @@
         self._budget.record_first_attempt()
         tried = set()
         sent = False
-        for attempt in range(MOST_ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             now = self._clock()
-            if until - now < LEAST_TIME_S:
+            if deadline - now < MIN_TIME_S:
                 return kinds.Failure(kinds.Kind.LATE, "no time left", sent)
             endpoint = self._router.choose(request, stage, now, avoid=tried)
             if endpoint is None:
@@ -57,31 +58,36 @@
             tried.add(endpoint.name)
             result = await hedges.first_answer(
                 functools.partial(
-                    self._call, request, stage, payload, until, endpoint
+                    self._measured_attempt,
+                    request,
+                    stage,
+                    payload,
+                    deadline,
+                    endpoint,
                 ),
                 functools.partial(
-                    self._other, request, stage, payload, until, tried
+                    self._hedge, request, stage, payload, deadline, tried
                 ),
-                seconds=self._patience(endpoint, now, repeatable),
+                delay_s=self._hedge_delay_s(endpoint, now, repeatable),
             )
             if not isinstance(result, kinds.Failure):
                 return result
             sent = sent or result.sent
             if sent and not repeatable:
                 break
-            if not await self._may_retry(stage, result, attempt, until):
+            if not await self._may_retry(stage, result, attempt, deadline):
                 break
         return result._replace(sent=sent)
 
-    def _patience(self, endpoint, now, repeatable):
+    def _hedge_delay_s(self, endpoint, now, repeatable):
         if not repeatable:
             return None
         return self._router.loads.hedge_delay_s(endpoint, now)
 
-    def _other(self, request, stage, payload, until, tried):
-        """Return a second attempt beside a slow one, or None."""
+    def _hedge(self, request, stage, payload, deadline, tried):
+        """Return a hedged attempt, or None if there may be none."""
         now = self._clock()
-        if until - now < LEAST_TIME_S or self._budget.tokens < 1:
+        if deadline - now < MIN_TIME_S or self._budget.tokens < 1:
             return None
         endpoint = self._router.choose(request, stage, now, avoid=tried)
         if endpoint is None or endpoint.name in tried:
@@ -89,25 +95,33 @@
         self._budget.try_spend()
         tried.add(endpoint.name)
         self._metrics.retries.labels(stage["name"], "hedge").inc()
-        return self._call(request, stage, payload, until, endpoint)
+        return self._measured_attempt(
+            request, stage, payload, deadline, endpoint
+        )
 
-    async def _call(self, request, stage, payload, until, endpoint):
-        began = self._clock()
-        result = await self.attempt(request, stage, payload, until, endpoint)
+    async def _measured_attempt(
+        self, request, stage, payload, deadline, endpoint
+    ):
+        started_at = self._clock()
+        result = await self.attempt(
+            request, stage, payload, deadline, endpoint
+        )
         if isinstance(result, adapters.StageAnswer):
             self._metrics.count_crossing(request, stage, endpoint, result)
             now = self._clock()
-            self._router.loads.observe_first_output(endpoint, now - began, now)
+            self._router.loads.observe_first_output(
+                endpoint, now - started_at, now
+            )
         return result
 
-    async def attempt(self, request, stage, payload, until, endpoint):
-        """Send one call to one endpoint, and report its outcome."""
+    async def attempt(self, request, stage, payload, deadline, endpoint):
+        """Send one call to one endpoint and report its outcome."""
         now = self._clock()
         call = adapters.Call(
             request=request.id,
             stage=stage["name"],
             attempt=uuid.uuid4().hex,
-            deadline_ms=(until - now) * 1000,
+            deadline_ms=(deadline - now) * 1000,
             payload=payload,
             key=request.key,
             priority=request.priority,
@@ -117,37 +131,38 @@
         result = None
         try:
             result = await self._client.call(
-                endpoint, call, timeout=until - now
+                endpoint, call, timeout=deadline - now
             )
         except asyncio.CancelledError:
-            # The caller went away: without this the endpoint would work
-            # on for nobody.
+            # The caller disconnected, or another attempt was faster.
+            # Without the cancel the endpoint would keep working on a
+            # result that nobody reads.
             await adapters.cancel_quietly(self._client, endpoint, call)
             raise
         finally:
-            ended = self._clock()
-            self._router.record_result(endpoint, call, result, now, ended)
+            ended_at = self._clock()
+            self._router.record_result(endpoint, call, result, now, ended_at)
         evidence.report(
             self._membership,
             endpoint,
             result,
-            given_s=until - now,
-            now=ended,
-            seconds=ended - now,
+            limit_s=deadline - now,
+            now=ended_at,
+            seconds=ended_at - now,
         )
         if isinstance(result, kinds.Failure) and result.sent:
             await adapters.cancel_quietly(self._client, endpoint, call)
         return result
 
-    async def _may_retry(self, stage, failure, attempt, until):
-        if attempt + 1 >= MOST_ATTEMPTS:
+    async def _may_retry(self, stage, failure, attempt, deadline):
+        if attempt + 1 >= MAX_ATTEMPTS:
             return False
-        left = until - self._clock() - LEAST_TIME_S
-        if left <= 0:
+        remaining_s = deadline - self._clock() - MIN_TIME_S
+        if remaining_s <= 0:
             return False
         if not self._budget.try_spend():
             return False
         self._metrics.retries.labels(stage["name"], failure.kind).inc()
-        pause = random.uniform(0, BACKOFF_S * 2**attempt)
-        await asyncio.sleep(min(pause, left))
+        pause_s = random.uniform(0, BACKOFF_S * 2**attempt)
+        await asyncio.sleep(min(pause_s, remaining_s))
         return True
