--- a/sycamoreshed/entry/__init__.py
+++ b/sycamoreshed/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The interface towards callers."""
+"""Interfaces for callers, operators and peers, and the daemon."""
--- a/sycamoreshed/entry/answers.py
+++ b/sycamoreshed/entry/answers.py
@@ -1,4 +1,4 @@
-"""Whole answers: their body and the HTTP answer around it."""
+"""Complete answers: their body and HTTP response."""
 
 from aiohttp import web
 import msgspec
@@ -16,7 +16,7 @@
 
 
 def encode_parts(request_id, version, output, stages):
-    """Return the body of a complete answer, given its members."""
+    """Return the body of a complete answer from its members."""
     return msgspec.json.encode(
         {
             "request": request_id,
@@ -29,7 +29,7 @@
 
 
 def response(raw, outcome=kinds.Outcome.COMPLETE):
-    """Return the HTTP answer around a body."""
+    """Return the HTTP response with an encoded body."""
     return web.Response(
         body=raw,
         content_type="application/json",
--- a/sycamoreshed/entry/backlog.py
+++ b/sycamoreshed/entry/backlog.py
@@ -1,37 +1,42 @@
-"""Waits until requests that already reached this process have been read."""
+"""Wait until requests that already reached this process are read."""
 
 import asyncio
 
 __all__ = ["wait_until_read"]
 
-LOOK_S = 0.02
-# Consecutive looks without a new request.
-QUIET_LOOKS = 3
-# Callers that keep sending would postpone the end of a stop for ever.
-MOST_S = 1.0
+POLL_INTERVAL_S = 0.02
+# Consecutive polls without a new request.
+QUIET_POLLS = 3
+# Otherwise callers that keep sending would delay a shutdown for ever.
+MAX_WAIT_S = 1.0
 
 
-async def wait_until_read(taken, clock):
-    """Return once no new request has been read for a few looks.
+async def wait_until_read(received, clock):
+    """Return once no new request has been read for a few polls.
 
     Parameters
     ----------
-    taken : callable
-        Returns how many requests have been read so far.
+    received : callable
+        Returns the number of requests read so far.
     clock : callable
         Monotonic time in seconds.
 
     Notes
     -----
-    A process that was paused or short of processor time still has requests
-    in its socket buffers when a timer fires.  A look that took far longer
-    than asked for says nothing: the loop runs timers before it reads.
+    A process that was paused or short of processor time may still have
+    requests in its socket buffers when a timer fires.  A poll that took far
+    longer than its interval is ignored: the event loop runs timers before
+    it reads sockets.
     """
-    end = clock() + MOST_S
-    quiet = 0
-    while quiet < QUIET_LOOKS and clock() < end:
-        seen = taken()
-        began = clock()
-        await asyncio.sleep(LOOK_S)
-        is_behind = clock() - began > 2 * LOOK_S
-        quiet = 0 if is_behind or taken() != seen else quiet + 1
+    wait_end = clock() + MAX_WAIT_S
+    quiet_polls = 0
+    while quiet_polls < QUIET_POLLS and clock() < wait_end:
+        received_before = received()
+        polled_at = clock()
+        await asyncio.sleep(POLL_INTERVAL_S)
+        is_behind = clock() - polled_at > 2 * POLL_INTERVAL_S
+        quiet_polls = (
+            0
+            if is_behind or received() != received_before
+            else quiet_polls + 1
+        )
--- a/sycamoreshed/entry/callers.py
+++ b/sycamoreshed/entry/callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface."""
+"""HTTP interface for callers."""
 
 import asyncio
 
@@ -17,15 +17,15 @@
 
 __all__ = ["Callers"]
 
-# A caller that sends its body more slowly than this holds a handler, and
-# with it the end of a drain, for nothing.
+# A caller that takes longer to send its body would occupy a handler and
+# delay the end of a drain to no purpose.
 BODY_TIMEOUT_S = 10.0
-# Counted in the place of an outcome when the caller went away.
-GONE = "gone"
+# Metric label in place of an outcome when the caller disconnected.
+DISCONNECTED = "gone"
 
 
 class Callers:
-    """Handlers of the callers' interface.
+    """HTTP handlers for callers.
 
     Parameters
     ----------
@@ -40,32 +40,32 @@
         self._runner = core.part("runner")
         self._once = core.part("once")
         self._metrics = core.part("metrics")
-        self._open = 0
-        self._taken = 0
-        self._runs = set()
-        self._latest = 0.0
+        self._open_requests = 0
+        self._received = 0
+        self._keyed_runs = set()
+        self._latest_deadline = 0.0
         self.accepting = True
 
     @property
     def in_flight(self):
-        """Requests taken in and not yet answered.
+        """Open requests and runs with a key; zero if nothing is left to do.
 
         Notes
         -----
-        More than admission counts: a request whose body is still on its
-        way is not admitted yet, and one whose caller went away may still
-        run.  A drain that overlooked them would cut them off.
+        Includes more than admission counts: a request whose body is still
+        arriving is not admitted yet, and one whose caller disconnected may
+        still run.  A drain that ignored them would abort them.
         """
-        return self._open + len(self._runs)
+        return self._open_requests + len(self._keyed_runs)
 
     @property
     def latest_deadline(self):
-        """Latest deadline of any request taken in, monotonic seconds."""
-        return self._latest
+        """Latest deadline of any parsed request, monotonic seconds."""
+        return self._latest_deadline
 
     async def wait_until_read(self):
-        """Return once the requests that have arrived are read."""
-        await backlog.wait_until_read(lambda: self._taken, self._core.clock)
+        """Wait until the requests that have arrived are read."""
+        await backlog.wait_until_read(lambda: self._received, self._core.clock)
 
     def routes(self):
         """Return the routes of the interface."""
@@ -77,37 +77,39 @@
         ]
 
     async def call(self, http):
-        """Run a pipeline and answer."""
-        self._taken += 1
-        refusal = self._refusal()
-        if refusal is not None:
-            return self._refuse_unread(refusal, http)
-        start = self._core.clock()
-        self._open += 1
+        """Run a pipeline and return its answer."""
+        self._received += 1
+        failure = self._check_accepting()
+        if failure is not None:
+            return self._reject_unparsed(failure, http)
+        started_at = self._core.clock()
+        self._open_requests += 1
         try:
-            ask = await self._read(http, start)
-            if isinstance(ask, kinds.Failure):
-                return self._refuse_unread(ask, http)
-            self._latest = max(self._latest, ask.request.deadline)
-            return await self._answer(http, ask, start)
+            parsed = await self._read(http, started_at)
+            if isinstance(parsed, kinds.Failure):
+                return self._reject_unparsed(parsed, http)
+            self._latest_deadline = max(
+                self._latest_deadline, parsed.request.deadline
+            )
+            return await self._answer(http, parsed, started_at)
         finally:
-            self._open -= 1
+            self._open_requests -= 1
 
     async def health(self, _http):
-        """Tell that the process runs."""
+        """Report that the process is alive."""
         return web.json_response({"status": "ok"})
 
     async def ready(self, _http):
-        """Tell whether callers should be sent here."""
-        refusal = None
+        """Report whether callers should be sent to this instance."""
+        failure = None
         if self._core.stopping.is_set():
-            refusal = kinds.Failure(kinds.Kind.DRAINING, "stopping")
+            failure = kinds.Failure(kinds.Kind.DRAINING, "stopping")
         elif not self._notes.is_ready:
-            refusal = kinds.Failure(
+            failure = kinds.Failure(
                 kinds.Kind.NOT_READY, "no configuration is known"
             )
-        if refusal is not None:
-            return problems.response(refusal)
+        if failure is not None:
+            return problems.response(failure)
         version = self._notes.config.version
         return web.json_response({"status": "ready", "version": version})
 
@@ -118,7 +120,7 @@
             headers={"Content-Type": "text/plain; version=0.0.4"},
         )
 
-    def _refusal(self):
+    def _check_accepting(self):
         if not self.accepting:
             return kinds.Failure(kinds.Kind.DRAINING, "stopping")
         if not self._notes.is_ready:
@@ -127,20 +129,22 @@
             )
         return None
 
-    def _refuse(self, failure, request=None):
+    def _reject(self, failure, request=None):
         self._metrics.sheds.labels(failure.kind).inc()
         return problems.response(failure, request and request.id)
 
-    def _refuse_unread(self, failure, http):
-        in_doubt = parsing.in_doubt(
+    def _reject_unparsed(self, failure, http):
+        may_have_run = parsing.earlier_may_have_run(
             http.headers, http.match_info["pipeline"], self._notes.config
         )
-        return self._refuse(failure._replace(earlier_may_have_run=in_doubt))
+        return self._reject(
+            failure._replace(earlier_may_have_run=may_have_run)
+        )
 
     async def _read(self, http, now):
         try:
             async with asyncio.timeout(BODY_TIMEOUT_S):
-                raw = await http.read()
+                body = await http.read()
         except TimeoutError:
             return kinds.Failure(
                 kinds.Kind.BAD_REQUEST, "body came too slowly"
@@ -153,62 +157,66 @@
         return parsing.parse(
             http.headers,
             http.match_info["pipeline"],
-            raw,
+            body,
             config=self._notes.config,
             region=self._settings.region,
             now=now,
         )
 
-    async def _answer(self, http, ask, start):
-        request = ask.request
+    async def _answer(self, http, parsed, started_at):
+        request = parsed.request
         if request.key is not None:
-            # Goes on when its caller goes away, so that its outcome gets
-            # recorded; until then it holds its slot and holds up a drain.
-            run = asyncio.create_task(self._keyed(http, ask, start))
-            self._runs.add(run)
-            run.add_done_callback(self._runs.discard)
-            return await asyncio.shield(run)
-        return await self._admitted(http, ask, start)
-
-    async def _keyed(self, http, ask, start):
-        request = ask.request
+            # Continues if its caller disconnects, so that its outcome is
+            # recorded; until then it occupies its slot and delays a drain.
+            task = asyncio.create_task(
+                self._run_keyed(http, parsed, started_at)
+            )
+            self._keyed_runs.add(task)
+            task.add_done_callback(self._keyed_runs.discard)
+            return await asyncio.shield(task)
+        return await self._admit_and_run(http, parsed, started_at)
+
+    async def _run_keyed(self, http, parsed, started_at):
+        request = parsed.request
         with self._once.track_in_progress(request):
             try:
-                end = await self._once.answer_before_admission(request)
+                early_answer = await self._once.answer_before_admission(
+                    request
+                )
             except Exception as err:
-                end = _unforeseen(err)
-            if end is None:
-                return await self._admitted(http, ask, start)
-            if isinstance(end, kinds.Failure):
-                return self._turn_away(end, request, start)
-            self._count(request, end.headers["Outcome"], start)
-            return end
-
-    def _turn_away(self, failure, request, start):
-        self._count(request, kinds.answer_for(failure).outcome, start)
-        return self._refuse(failure, request)
-
-    async def _admitted(self, http, ask, start):
-        request = ask.request
+                early_answer = _unknown_outcome(err)
+            if early_answer is None:
+                return await self._admit_and_run(http, parsed, started_at)
+            if isinstance(early_answer, kinds.Failure):
+                return self._reject_parsed(early_answer, request, started_at)
+            self._count(request, early_answer.headers["Outcome"], started_at)
+            return early_answer
+
+    def _reject_parsed(self, failure, request, started_at):
+        self._count(request, kinds.answer_for(failure).outcome, started_at)
+        return self._reject(failure, request)
+
+    async def _admit_and_run(self, http, parsed, started_at):
+        request = parsed.request
         ticket = await self._admission.acquire(request, self._core.clock())
         if isinstance(ticket, kinds.Failure):
             if request.key is not None:
                 ticket = self._once.reject_unread(request, ticket)
-            return self._turn_away(ticket, request, start)
+            return self._reject_parsed(ticket, request, started_at)
         try:
-            if ask.stream:
-                return await self._stream(http, request, start)
-            return await self._whole(request, start)
+            if parsed.stream:
+                return await self._respond_streamed(http, request, started_at)
+            return await self._respond(request, started_at)
         except BaseException as err:
             cancelled = isinstance(err, asyncio.CancelledError)
-            if cancelled or guard.is_gone(http):
-                self._count(request, GONE, start)
+            if cancelled or guard.is_disconnected(http):
+                self._count(request, DISCONNECTED, started_at)
             raise
         finally:
             self._admission.release(ticket, self._core.clock())
 
-    async def _whole(self, request, start):
-        result = await self._run_to_end(request)
+    async def _respond(self, request, started_at):
+        result = await self._run(request)
         if isinstance(result, kinds.Failure):
             result = problems.response(result, request.id)
         elif not isinstance(result, web.Response):
@@ -216,10 +224,10 @@
         outcome = result.headers["Outcome"]
         if outcome == kinds.Outcome.COMPLETE:
             outcome = self._outcome(request)
-        self._count(request, outcome, start)
+        self._count(request, outcome, started_at)
         return result
 
-    async def _run_to_end(self, request):
+    async def _run(self, request):
         if request.key is None:
             result = await self._runner.run(request)
             if not isinstance(result, kinds.Failure):
@@ -228,26 +236,26 @@
         try:
             return await self._once.run(request)
         except Exception as err:
-            return _unforeseen(err)
+            return _unknown_outcome(err)
 
-    async def _stream(self, http, request, start):
+    async def _respond_streamed(self, http, request, started_at):
         stream = events.EventStream()
         await stream.prepare(http)
         try:
-            result = await self._runner.run(request, emit=stream.token)
+            result = await self._runner.run(request, emit=stream.send_token)
         except Exception as err:
-            if guard.is_gone(http):
+            if guard.is_disconnected(http):
                 raise
             logger.opt(exception=err).error("streamed run failed")
-            result = guard.internal(err)
+            result = guard.internal_failure(err)
         if isinstance(result, kinds.Failure):
             details = problems.document(result, request.id)
             await stream.send("error", details)
-            self._count(request, kinds.answer_for(result).outcome, start)
+            self._count(request, kinds.answer_for(result).outcome, started_at)
         else:
             data = msgspec.Raw(answers.encode(request, result))
             await stream.send("done", data)
-            self._count(request, self._outcome(request), start)
+            self._count(request, self._outcome(request), started_at)
         return await stream.end()
 
     def _outcome(self, request):
@@ -255,19 +263,21 @@
             return kinds.Outcome.LATE
         return kinds.Outcome.COMPLETE
 
-    def _count(self, request, outcome, start):
+    def _count(self, request, outcome, started_at):
         team = self._metrics.team_label(request.team)
         self._metrics.requests.labels(team, request.pipeline, outcome).inc()
         self._metrics.request_seconds.labels(request.pipeline).observe(
-            self._core.clock() - start
+            self._core.clock() - started_at
         )
 
 
-def _unforeseen(err):
-    # Nobody can tell how far it came, so "failed", which invites a caller
-    # to send it again under a new key, would be wrong.
+def _unknown_outcome(err):
+    # How far the run got is unknown, so the outcome "failed" would be wrong:
+    # it invites the caller to send the request again under a new key.
     logger.opt(exception=err).error("run with a key failed")
-    return guard.internal(err)._replace(kind=kinds.Kind.OUTCOME_UNKNOWN)
+    return guard.internal_failure(err)._replace(
+        kind=kinds.Kind.OUTCOME_UNKNOWN
+    )
 
 
 @kernel.plugin(
@@ -275,7 +285,7 @@
     needs=("admission", "guard", "metrics", "notes", "once", "runner"),
 )
 async def callers(core):
-    """Provide the callers' interface."""
+    """Provide the HTTP interface for callers."""
     part = Callers(core=core)
     core.public.add_routes(part.routes())
     yield part
--- a/sycamoreshed/entry/daemon.py
+++ b/sycamoreshed/entry/daemon.py
@@ -1,11 +1,11 @@
-"""The daemon: all plug-ins under one kernel, on uvloop."""
+"""The daemon: one kernel that runs all its plug-ins, on uvloop."""
 
 import asyncio
 import os
 import signal
 
-# Without this uvloop opens an io_uring, which the platform forbids; it
-# reads the variable when the first loop is made.
+# Without this uvloop opens an io_uring, which the platform forbids.  It
+# reads the variable when the first loop is created.
 os.environ["UV_USE_IO_URING"] = "0"
 
 import uvloop  # noqa: E402
@@ -41,33 +41,33 @@
 
 __all__ = ["check", "serve"]
 
-# Plug-ins that nothing else needs; with what they need they are this daemon.
-# The command line knows the gateway's plug-ins as well, and all of them
-# together would neither fit these settings nor be wanted.
-PARTS = ("orders", "servers", "sweeper")
-# Names in the settings that stand for what plug-ins registered.
+# Plug-ins that no other one needs; with their dependencies they form this
+# daemon.  The command line also registers the gateway's plug-ins, which must
+# not be started here and do not fit these settings.
+ROOT_PLUGINS = ("orders", "servers", "sweeper")
+# Registries of the settings whose values name a registered entry.
 REGISTRIES = {"routing": policies.POLICIES}
 
 
 def check(settings, *, source):
-    """Check names in the settings against what is registered.
+    """Check names in the settings against the registries.
 
     Raises
     ------
     CheckError
     """
     for name, registry in REGISTRIES.items():
-        known = registry.names()
-        if getattr(settings, name) not in known:
+        registered = registry.names()
+        if getattr(settings, name) not in registered:
             raise exceptions.CheckError(
                 source=source,
                 path=f"$.{name}",
-                expected=f"expected one of: {', '.join(known)}",
+                expected=f"expected one of: {', '.join(registered)}",
             )
 
 
 def serve(settings):
-    """Run the daemon until it is told to stop.
+    """Run the daemon until it is stopped.
 
     Parameters
     ----------
@@ -80,6 +80,6 @@
 async def _serve(settings):
     core = kernel.Kernel(settings=settings)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, core.stopping.set)
-    await core.run(until=servers.drain, wanted=PARTS)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, core.stopping.set)
+    await core.run(until=servers.drain, wanted=ROOT_PLUGINS)
--- a/sycamoreshed/entry/events.py
+++ b/sycamoreshed/entry/events.py
@@ -3,12 +3,12 @@
 from aiohttp import web
 import msgspec
 
-__all__ = ["EventStream", "event"]
+__all__ = ["EventStream", "encode_event"]
 
 _encode = msgspec.json.Encoder().encode
 
 
-def event(name, body, *, number=None):
+def encode_event(name, body, *, number=None):
     r"""Return one event as bytes.
 
     Parameters
@@ -21,13 +21,12 @@
 
     Notes
     -----
-    A token may hold line ends of any kind; written as it is, a carriage
-    return would end the line and the rest would be lost to the caller.
-    JSON escapes them.
+    A token may contain any line end.  Unescaped, a carriage return would
+    end the line and the caller would lose the rest; JSON escapes them.
 
     Examples
     --------
-    >>> event("token", {"token": "a\r\n"}, number=3)
+    >>> encode_event("token", {"token": "a\r\n"}, number=3)
     b'event: token\nid: 3\ndata: {"token":"a\\r\\n"}\n\n'
     """
     head = f"event: {name}\n"
@@ -37,12 +36,12 @@
 
 
 class EventStream:
-    """One streamed answer.
+    """A streamed answer.
 
     Notes
     -----
-    The library for server-sent events beside aiohttp takes only GET; a
-    call has a body, so the three lines of an event are written here.
+    The server-sent events library for aiohttp supports only GET.  A call
+    has a body, so events, of three lines each, are encoded here.
     """
 
     def __init__(self):
@@ -52,18 +51,18 @@
         self._response.content_type = "text/event-stream"
 
     async def prepare(self, http):
-        """Send the head of the answer."""
+        """Send status and headers of the answer."""
         await self._response.prepare(http)
 
-    async def token(self, offset, token):
+    async def send_token(self, offset, token):
         """Send one token."""
         await self.send("token", {"token": token}, number=offset)
 
     async def send(self, name, body, *, number=None):
-        """Send one event; see `event`."""
-        await self._response.write(event(name, body, number=number))
+        """Send one event; see `encode_event`."""
+        await self._response.write(encode_event(name, body, number=number))
 
     async def end(self):
-        """End the answer and return it to aiohttp."""
+        """End the answer and return its response."""
         await self._response.write_eof()
         return self._response
--- a/sycamoreshed/entry/guard.py
+++ b/sycamoreshed/entry/guard.py
@@ -1,4 +1,4 @@
-"""Turns what a handler raises into problem details."""
+"""Convert exceptions raised by handlers into problem details."""
 
 from aiohttp import web
 from loguru import logger
@@ -7,11 +7,11 @@
 from sycamoreshed.errors import kinds
 from sycamoreshed.kernel import kernel
 
-__all__ = ["guarded", "internal", "is_gone"]
+__all__ = ["handle_errors", "internal_failure", "is_disconnected"]
 
-# Seen by nobody: customary in logs for a caller that hung up.
-CLOSED = 499
-_KINDS = {
+# Customary in logs for a caller that disconnected; no caller receives it.
+CLIENT_CLOSED_STATUS = 499
+_KINDS_BY_STATUS = {
     404: kinds.Kind.UNKNOWN_PATH,
     405: kinds.Kind.WRONG_METHOD,
     413: kinds.Kind.TOO_LARGE,
@@ -19,37 +19,38 @@
 
 
 @web.middleware
-async def guarded(http, handler):
-    """Answer with problem details when a handler raises.
+async def handle_errors(http, handler):
+    """Return problem details when a handler raises.
 
     Notes
     -----
-    Without it a fault of ours would reach the caller as a bare status
-    500 that does not tell whether the request ran.
+    Without it an internal error would reach the caller as a bare status
+    500, which does not tell whether the request ran.
     """
     try:
         return await handler(http)
     except web.HTTPException as err:
-        kind = _KINDS.get(err.status, kinds.Kind.BAD_REQUEST)
+        kind = _KINDS_BY_STATUS.get(err.status, kinds.Kind.BAD_REQUEST)
         answer = problems.response(kinds.Failure(kind, err.reason))
         if "Allow" in err.headers:
             answer.headers["Allow"] = err.headers["Allow"]
         return answer
     except Exception as err:
-        if is_gone(http):
-            # Nobody is left to be answered. Raised further, it would be
-            # logged as a fault of ours each time a caller hangs up.
-            return web.Response(status=CLOSED)
+        if is_disconnected(http):
+            # No caller is left to receive an answer.  If raised again, the
+            # exception would be logged as an internal error each time a
+            # caller disconnects.
+            return web.Response(status=CLIENT_CLOSED_STATUS)
         logger.opt(exception=err).bind(path=http.path).error("handler failed")
-        return problems.response(internal(err))
+        return problems.response(internal_failure(err))
 
 
-def is_gone(http):
+def is_disconnected(http):
     """Return whether the caller's connection is closed."""
     return http.transport is None or http.transport.is_closing()
 
 
-def internal(err):
+def internal_failure(err):
     """Return the failure for an unexpected exception."""
     reason = f"unexpected {type(err).__name__}"
     return kinds.Failure(kinds.Kind.INTERNAL, reason, sent=True)
@@ -57,6 +58,6 @@
 
 @kernel.plugin("guard")
 async def guard(core):
-    """Put the guard around all handlers."""
-    core.guard(guarded)
-    yield guarded
+    """Install the error middleware around all handlers."""
+    core.guard(handle_errors)
+    yield handle_errors
--- a/sycamoreshed/entry/noteroutes.py
+++ b/sycamoreshed/entry/noteroutes.py
@@ -1,4 +1,4 @@
-"""The operators' and peers' interface to release notes."""
+"""HTTP interface to release notes, for operators and peers."""
 
 import asyncio
 
@@ -16,13 +16,13 @@
 
 __all__ = ["NoteRoutes"]
 
-ASK_S = 1.0
-ASKED_AT_ONCE = 32
-MOST_HISTORY = 1000
+VERSION_TIMEOUT_S = 1.0
+MAX_CONCURRENT_QUERIES = 32
+MAX_HISTORY = 1000
 
 
 class NoteRoutes:
-    """Handlers for release notes on the control address."""
+    """HTTP handlers for release notes on the control address."""
 
     def __init__(self, *, core):
         self._core = core
@@ -37,32 +37,32 @@
     def routes(self):
         """Return the routes of the interface."""
         return [
-            web.get("/control/notes", self.since),
+            web.get("/control/notes", self.updates),
             web.post("/control/notes", self.apply),
             web.post("/control/notes/check", self.check),
             web.get("/control/notes/history", self.history),
             web.get("/control/notes/show", self.show),
             web.get("/control/notes/status", self.status),
-            web.get("/control/config", self.part),
+            web.get("/control/config", self.config_part),
             web.get("/control/version", self.version),
         ]
 
-    async def since(self, http):
-        """Give a peer the notes after its version, or all of it."""
+    async def updates(self, http):
+        """Return the notes after a peer's version, or the full state."""
         after = int(http.query.get("after", "0"))
         return _json(self._notes.updates_since(after))
 
-    async def part(self, http):
-        """Give a peer one part of the configuration in force."""
+    async def config_part(self, http):
+        """Return one part of the configuration in force to a peer."""
         config = self._notes.config
         number = int(http.query["part"])
-        is_there = 0 <= number < state.count_parts(config)
-        if int(http.query["version"]) != config.version or not is_there:
+        is_valid = 0 <= number < state.count_parts(config)
+        if int(http.query["version"]) != config.version or not is_valid:
             raise web.HTTPConflict(text="another version is in force")
         return _json(state.document_part(config, number))
 
     async def version(self, _http):
-        """Tell the version in force here."""
+        """Return the version in force on this instance."""
         return _json({"version": self._notes.config.version})
 
     async def apply(self, http):
@@ -72,7 +72,7 @@
             return problems.response(note)
         verdict = await self._acceptor.accept(note)
         if verdict.failure is not None:
-            return _refuse(verdict)
+            return _rejection(verdict)
         self._core.spawn(
             self._snapshots.maybe_store(self._notes.config),
             name="store snapshot",
@@ -86,19 +86,19 @@
             return problems.response(note)
         verdict = self._acceptor.check(note)
         if verdict.failure is not None:
-            return _refuse(verdict)
+            return _rejection(verdict)
         return _json({"valid": note["id"], "would_make": verdict.version})
 
     async def history(self, http):
-        """Tell the last accepted notes."""
-        limit = min(int(http.query.get("limit", "20")), MOST_HISTORY)
-        found = await self._history.latest(limit)
-        if isinstance(found, kinds.Failure):
-            return problems.response(found)
-        return _json({"notes": found})
+        """Return the most recently accepted notes."""
+        limit = min(int(http.query.get("limit", "20")), MAX_HISTORY)
+        notes = await self._history.latest(limit)
+        if isinstance(notes, kinds.Failure):
+            return problems.response(notes)
+        return _json({"notes": notes})
 
     async def show(self, http):
-        """Give the configuration of a version."""
+        """Return the configuration of a version."""
         current = self._notes.config
         version = int(http.query.get("at", current.version))
         config = await self._history.config_at(version)
@@ -107,53 +107,55 @@
         return _json(state.document(config))
 
     async def status(self, http):
-        """Tell which version is in force where, and what became of a note.
+        """Return the version on each instance, and the outcome of a note.
 
         Notes
         -----
-        Instances are asked when an operator asks.  Telling each version
-        of 410 instances to all of them with every note would take more
-        bytes than all other messages.
+        Instances are queried on request.  Sending the versions of 410
+        instances to all of them with every note would take more bytes
+        than all other messages.
         """
         body = {"version": self._notes.config.version}
         note_id = http.query.get("id")
         if note_id is not None:
             verdict = await self._acceptor.find_accepted(note_id)
             if verdict.failure is not None:
-                return _refuse(verdict)
+                return _rejection(verdict)
             accepted = verdict.version is not None
             body["note"] = note_id
             body["outcome"] = "accepted" if accepted else "not accepted"
             body["accepted_as"] = verdict.version
-        return _json({**body, **await self._versions()})
+        return _json({**body, **await self._fetch_versions()})
 
-    async def _versions(self):
+    async def _fetch_versions(self):
         alive = self._gossip.view.alive(self._core.clock())
         names = {item.name for item in alive}
-        gate = asyncio.Semaphore(ASKED_AT_ONCE)
-        found = await asyncio.gather(*[self._ask(gate, i) for i in alive])
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
+        versions = await asyncio.gather(
+            *[self._fetch_version(semaphore, i) for i in alive]
+        )
         regions = {}
-        for member, version in zip(alive, found, strict=True):
+        for member, version in zip(alive, versions, strict=True):
             zones = regions.setdefault(member.region, {})
             zones.setdefault(member.zone, {})[member.name] = version
-        lost = [
+        unreachable = [
             item.name
             for item in self._gossip.view.known()
             if item.name not in names
         ]
-        return {"regions": regions, "out_of_reach": sorted(lost)}
+        return {"regions": regions, "out_of_reach": sorted(unreachable)}
 
-    async def _ask(self, gate, member):
-        """Return the version in force on an instance, None if unknown."""
+    async def _fetch_version(self, semaphore, member):
+        """Return the version in force on an instance, or None if unknown."""
         if member.name == self._settings.instance:
             return self._notes.config.version
-        async with gate:
+        async with semaphore:
             reply = await client.fetch(
                 self._session,
                 "GET",
                 member.address,
                 "/control/version",
-                timeout=ASK_S,
+                timeout=VERSION_TIMEOUT_S,
             )
         if isinstance(reply, kinds.Failure) or reply.status != 200:
             return None
@@ -161,11 +163,11 @@
 
 
 async def _read(http):
-    """Return the note of a request, or Failure."""
+    """Return the note in a request body, or Failure."""
     raw = await http.read()
     try:
-        # A note of 35,000 teams takes long to check; requests go on
-        # meanwhile.
+        # In a thread, so that requests are served meanwhile: a note with
+        # 35,000 teams takes long to check.
         return await asyncio.to_thread(
             checking.decode, raw, schema.Note, source="note"
         )
@@ -179,8 +181,8 @@
     )
 
 
-def _refuse(verdict):
-    """Return the answer of a refusal; it names the winner if any."""
+def _rejection(verdict):
+    """Return the answer for a rejected note, with the winner if any."""
     details = problems.document(verdict.failure)
     if verdict.winner is not None:
         details["winner"] = {
@@ -201,7 +203,7 @@
     needs=("acceptor", "gossip", "note_history", "notes", "snapshots", "web"),
 )
 async def note_routes(core):
-    """Provide the interface to release notes."""
+    """Provide the HTTP interface to release notes."""
     part = NoteRoutes(core=core)
     core.control.add_routes(part.routes())
     yield part
--- a/sycamoreshed/entry/operators.py
+++ b/sycamoreshed/entry/operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface, on the control address."""
+"""HTTP interface for operators, on the control address."""
 
 from aiohttp import web
 
@@ -8,7 +8,7 @@
 
 
 class Operators:
-    """Handlers of the operators' interface."""
+    """HTTP handlers for operators."""
 
     def __init__(self, *, core):
         self._core = core
@@ -25,7 +25,7 @@
         ]
 
     async def status(self, _http):
-        """Tell what this instance is and runs."""
+        """Return identity, version and load of this instance."""
         settings = self._core.settings
         live = self._membership.live_instances(self._core.clock())
         return web.json_response(
@@ -41,7 +41,7 @@
         )
 
     async def drain(self, _http):
-        """Begin a graceful shutdown; peers hear of it at once."""
+        """Start a graceful shutdown and announce it to peers at once."""
         self._gossip.leave()
         self._core.stopping.set()
         return web.json_response({"stopping": True})
@@ -51,7 +51,7 @@
     "operators", needs=("admission", "gossip", "membership", "notes")
 )
 async def operators(core):
-    """Provide the operators' interface."""
+    """Provide the HTTP interface for operators."""
     part = Operators(core=core)
     core.control.add_routes(part.routes())
     yield part
--- a/sycamoreshed/entry/parsing.py
+++ b/sycamoreshed/entry/parsing.py
@@ -1,4 +1,4 @@
-"""Reading a caller's request; costs no endpoint any work."""
+"""Parse and check callers' requests without calling an endpoint."""
 
 import math
 import typing
@@ -10,16 +10,16 @@
 from sycamoreshed.pipeline import runner
 from sycamoreshed.settings import checking
 
-__all__ = ["Ask", "check", "in_doubt", "parse"]
+__all__ = ["ParsedCall", "check_access", "earlier_may_have_run", "parse"]
 
 TEAM = "Team"
 KEY = "Idempotency-Key"
 REPEAT = "Idempotency-Repeat"
 DEADLINE = "Deadline-Ms"
 PRIORITY = "Priority"
-LONGEST_KEY = 200
+MAX_KEY_LENGTH = 200
 MAX_DEADLINE_MS = 600_000.0
-REPEATS = {"true": True, "false": False}
+REPEAT_VALUES = {"true": True, "false": False}
 PRIORITIES = frozenset("0123456789")
 DEFAULT_PRIORITY = "1"
 
@@ -31,14 +31,14 @@
     stream: typing.NotRequired[bool]
 
 
-class Ask(typing.NamedTuple):
-    """A caller's request as parsed."""
+class ParsedCall(typing.NamedTuple):
+    """A parsed request and whether its answer is to be streamed."""
 
     request: requests.Request
     stream: bool
 
 
-def check(config, team, pipeline, region):
+def check_access(config, team, pipeline, region):
     """Return a failure if the team may not call the pipeline, or None."""
     if config.entry("teams", team) is None:
         return kinds.Failure(kinds.Kind.UNKNOWN_TEAM, f"team {team!r}")
@@ -56,24 +56,24 @@
     return None
 
 
-def in_doubt(headers, pipeline, config):
-    """Tell whether an earlier request with a caller's key may have run.
+def earlier_may_have_run(headers, pipeline, config):
+    """Return whether an earlier request with the same key may have run.
 
     Parameters
     ----------
     headers : mapping of str to str
-        Of a request that is refused before it is understood.
+        Headers of a request that is rejected before it is fully parsed.
     pipeline : str
     config : Config or None
-        None if no configuration is known yet.
+        None if no configuration has been received yet.
 
     Returns
     -------
     bool
-        False as well where the key means nothing to the pipeline.
+        Also False if the pipeline ignores keys.
     """
     key = headers.get(KEY, "")
-    if not 0 < len(key) <= LONGEST_KEY or headers.get(REPEAT) == "false":
+    if not 0 < len(key) <= MAX_KEY_LENGTH or headers.get(REPEAT) == "false":
         return False
     if config is None or config.entry("pipelines", pipeline) is None:
         return True
@@ -81,7 +81,7 @@
 
 
 def parse(headers, pipeline, raw, *, config, region, now):
-    """Check headers and body of a call.
+    """Parse and check headers and body of a call.
 
     Parameters
     ----------
@@ -89,20 +89,20 @@
     pipeline : str
     raw : bytes
     config : Config
-        In force now; the request keeps it.
+        The configuration in force now, which the request keeps.
     region : str
-        Of this instance.
+        Region of this instance.
     now : float
         Monotonic seconds.
 
     Returns
     -------
-    Ask or Failure
+    ParsedCall or Failure
     """
     team = headers.get(TEAM, "")
-    refusal = check(config, team, pipeline, region)
-    if refusal is not None:
-        return refusal
+    failure = check_access(config, team, pipeline, region)
+    if failure is not None:
+        return failure
     spec = config.entry("pipelines", pipeline)
     try:
         body = checking.decode(raw, Body, source="body")
@@ -117,10 +117,10 @@
         reason = f"stage {critical['name']!r} may not be repeated"
         return kinds.Failure(kinds.Kind.KEY_MISSING, reason)
     if critical is not None and body.get("stream"):
-        # A stream cannot be repeated to a later caller byte for byte.
+        # A stream cannot be replayed byte for byte to a later caller.
         reason = f"stage {critical['name']!r} may not be streamed"
         return kinds.Failure(kinds.Kind.BAD_REQUEST, reason)
-    if key is not None and len(key) > LONGEST_KEY:
+    if key is not None and len(key) > MAX_KEY_LENGTH:
         return kinds.Failure(kinds.Kind.BAD_REQUEST, f"{KEY} too long")
     request = requests.Request(
         id=uuid.uuid4().hex,
@@ -133,7 +133,7 @@
         priority=priority,
         repeat=repeat,
     )
-    return Ask(request, body.get("stream", False))
+    return ParsedCall(request, body.get("stream", False))
 
 
 def _priority(headers):
@@ -147,9 +147,9 @@
     text = headers.get(REPEAT)
     if text is None:
         return None
-    if text not in REPEATS:
+    if text not in REPEAT_VALUES:
         raise ValueError(f"{REPEAT} must be true or false")
-    return REPEATS[text]
+    return REPEAT_VALUES[text]
 
 
 def _deadline(headers, spec):
--- a/sycamoreshed/entry/problems.py
+++ b/sycamoreshed/entry/problems.py
@@ -23,7 +23,7 @@
         "outcome": answer.outcome,
     }
     if answer.retry_after is not None:
-        # In a stream there is no head left to carry it.
+        # In a stream the headers have already been sent.
         details["retry_after"] = answer.retry_after
     if request_id is not None:
         details["request"] = request_id
@@ -31,12 +31,12 @@
 
 
 def headers(failure):
-    """Return the headers that go with a failure.
+    """Return the response headers for a failure.
 
     Notes
     -----
-    ``Retry-After`` has whole seconds, so it is rounded up: told too
-    short a time, callers would come back to be refused again.
+    ``Retry-After`` has whole seconds, so it is rounded up: with a shorter
+    time callers would retry too early and be rejected again.
     """
     answer = kinds.answer_for(failure)
     result = {"Outcome": str(answer.outcome)}
@@ -46,7 +46,7 @@
 
 
 def response(failure, request_id=None):
-    """Return the whole HTTP answer of a failure."""
+    """Return the HTTP response for a failure."""
     details = document(failure, request_id)
     return web.Response(
         status=details["status"],
--- a/sycamoreshed/entry/servers.py
+++ b/sycamoreshed/entry/servers.py
@@ -1,4 +1,4 @@
-"""The daemon's listening sockets, and its graceful shutdown."""
+"""Listening servers of the daemon, and its graceful shutdown."""
 
 import asyncio
 import functools
@@ -10,17 +10,17 @@
 
 __all__ = ["drain"]
 
-POLL_S = 0.05
-# For writing the answers of requests that end with their deadline.
-MARGIN_S = 1.0
+POLL_INTERVAL_S = 0.05
+# Time to write the answers of requests that end at their deadline.
+DEADLINE_MARGIN_S = 1.0
 MAX_HEADER_BYTES = 16384
 
 
-async def listen(app, bound, **more):
-    """Serve an application on a bound socket; return its runner."""
+async def listen(app, bound, **options):
+    """Serve an application on a bound socket and return its runner."""
     runner = web.AppRunner(
         app,
-        **more,
+        **options,
         access_log=None,
         handler_cancellation=True,
         max_line_size=MAX_HEADER_BYTES,
@@ -35,9 +35,11 @@
     "servers", needs=("callers", "note_routes", "operators", "sockets")
 )
 async def servers(core):
-    """Provide the listening sockets, after all routes are known."""
+    """Provide the listening servers, after all routes are added."""
     settings = core.settings
-    core.public.on_response_prepare.append(functools.partial(_part, core))
+    core.public.on_response_prepare.append(
+        functools.partial(_close_when_stopping, core)
+    )
     bound = core.part("sockets")
     control = await listen(core.control, bound["control"])
     public = await listen(core.public, bound["public"])
@@ -49,12 +51,12 @@
     await control.cleanup()
 
 
-async def _part(core, _http, answer):
-    """Close the connection after an answer once the stop has begun.
+async def _close_when_stopping(core, _http, answer):
+    """Close the connection after an answer once the shutdown has started.
 
-    A caller's next request on a connection kept open could cross with
-    the end of the process and be cut off; on a new one it comes to an
-    instance that stays.
+    A caller's next request on an open connection could arrive as the
+    process ends and be lost; on a new connection it reaches an instance
+    that keeps running.
     """
     if core.stopping.is_set():
         answer.force_close()
@@ -62,17 +64,17 @@
 
 
 async def drain(core):
-    """Wait for the stop, then until no request is in flight.
+    """Wait for the stop signal, then until no request is in flight.
 
-    What arrives during the grace is served, also if the process could not
-    read it until later.  A request that comes after that on any connection,
-    also on one kept open, is answered with kind ``draining``.
+    Requests that arrive during the grace period are served, even if the
+    process reads them only later.  Requests after that are answered with
+    kind ``draining``, on new and on open connections.
 
     Notes
     -----
-    ``/readyz`` fails first and new requests are still served during the
-    grace: a balancer that has not noticed yet would otherwise hand its
-    callers refusals.
+    ``/readyz`` fails first, and new requests are still served during the
+    grace period: otherwise a load balancer that has not noticed yet would
+    pass rejections on to its callers.
     """
     await core.stopping.wait()
     settings = core.settings
@@ -81,11 +83,13 @@
     await asyncio.sleep(settings.grace_s)
     await callers.wait_until_read()
     callers.accepting = False
-    end = core.clock() + settings.drain_s
+    drain_end = core.clock() + settings.drain_s
     while callers.in_flight:
-        # Each request ends by its deadline, so waiting until the latest
-        # one cuts none off even if the settings say less.
-        if core.clock() > max(end, callers.latest_deadline + MARGIN_S):
+        # Each request ends by its deadline, so waiting for the latest
+        # deadline aborts none, even if ``drain_s`` is shorter.
+        if core.clock() > max(
+            drain_end, callers.latest_deadline + DEADLINE_MARGIN_S
+        ):
             break
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     logger.bind(left=callers.in_flight).info("stopped")
--- a/sycamoreshed/entry/sockets.py
+++ b/sycamoreshed/entry/sockets.py
@@ -1,4 +1,4 @@
-"""Takes the daemon's addresses before anything else is started."""
+"""Bind the daemon's addresses before it opens any connection."""
 
 import socket
 
@@ -7,7 +7,7 @@
 
 __all__ = ["bind", "split_address"]
 
-# Names in the settings; a daemon has those that its settings name.
+# Settings that hold an address; each daemon has only some of them.
 LISTENERS = ("control", "public", "ready")
 
 
@@ -24,18 +24,18 @@
 
 
 def bind(address, *, path):
-    """Return a socket that is bound to an address.
+    """Return a socket bound to an address.
 
     Parameters
     ----------
     address : str
     path : str
-        Where the address stands in the settings.
+        Path of the address in the settings, for the error.
 
     Raises
     ------
     CheckError
-        If the address cannot be had.
+        If the address cannot be bound.
     """
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -56,14 +56,14 @@
 
 @kernel.plugin("sockets")
 async def sockets(core):
-    """Provide the bound sockets by their name in the settings.
+    """Provide the bound sockets by the name of their setting.
 
     Notes
     -----
-    Connections to others leave from the same address, from a port that
-    the system chooses.  Started before its sockets are bound, a daemon
-    now and then found its own port taken by its own connection, and did
-    not start.
+    Outgoing connections use the same IP address and a port that the
+    system chooses.  When they were opened before the sockets were bound,
+    such a connection sometimes occupied the daemon's own port, and the
+    daemon did not start.
     """
     bound = {}
     try:
@@ -74,5 +74,5 @@
             bound[name] = bind(address, path=f"$.{name}")
         yield bound
     finally:
-        for each in bound.values():
-            each.close()
+        for sock in bound.values():
+            sock.close()
--- a/sycamoreshed/entry/tests/test_callers.py
+++ b/sycamoreshed/entry/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Handlers of the callers' interface, before parts that fail."""
+"""HTTP handlers for callers, with fakes for the parts they use."""
 
 import asyncio
 import contextlib
@@ -23,27 +23,27 @@
 COMPLETE = requests.Complete("whole", ("generate",))
 
 
-class Part:
-    """Runs a request as it is told to."""
+class FakeRunner:
+    """Fake for the runner and `Once`: ends runs with a set result."""
 
     def __init__(self, result):
         self.result = result
-        self.begun = asyncio.Event()
+        self.started = asyncio.Event()
         self.gate = asyncio.Event()
         self.gate.set()
         self.finished = 0
-        self.refused = None
+        self.early_answer = None
 
     def track_in_progress(self, _request):
         return contextlib.nullcontext()
 
     async def answer_before_admission(self, _request):
-        return self.refused
+        return self.early_answer
 
     async def run(self, _request, *, emit=None):
         if emit is not None:
             await emit(0, "word ")
-        self.begun.set()
+        self.started.set()
         await self.gate.wait()
         self.finished += 1
         if isinstance(self.result, Exception):
@@ -52,7 +52,7 @@
 
 
 class Core(kernel.Kernel):
-    """A kernel with parts that are given."""
+    """A kernel with given parts instead of started plug-ins."""
 
     def __init__(self, **parts):
         document = builders.settings_document(
@@ -64,23 +64,23 @@
 
 
 async def serve(result):
-    """Return a client, the callers' part and the part that runs."""
-    part = Part(result)
+    """Return a client, the handlers and the fake runner behind them."""
+    runner = FakeRunner(result)
     core = Core(
         notes=types.SimpleNamespace(config=builders.config(), is_ready=True),
-        runner=part,
-        once=part,
+        runner=runner,
+        once=runner,
         metrics=metrics.Metrics(),
     )
     core._parts["admission"] = admission.Admission(
         settings=core.settings, live_count=lambda now: 1, clock=core.clock
     )
-    core.guard(guard.guarded)
-    entry = callers.Callers(core=core)
-    core.public.add_routes(entry.routes())
+    core.guard(guard.handle_errors)
+    handlers = callers.Callers(core=core)
+    core.public.add_routes(handlers.routes())
     server = test_utils.TestServer(core.public)
     await server.start_server()
-    return test_utils.TestClient(server), entry, part
+    return test_utils.TestClient(server), handlers, runner
 
 
 async def ask(client, pipeline, **body):
@@ -94,22 +94,24 @@
     "pipeline, status, outcome",
     [("summary", 500, "failed"), ("ballot", 504, "outcome-unknown")],
 )
-async def test_fault_inside_never_says_not_run(pipeline, status, outcome):
-    """A part of the daemon raises what nobody expected.
+async def test_internal_error_is_never_answered_as_not_run(
+    pipeline, status, outcome
+):
+    """A part of the daemon raises an unexpected exception.
 
     The caller of a ballot must not be told that it failed: it may have
     been recorded.
     """
-    client, entry, _ = await serve(KeyError("broken part"))
+    client, handlers, _ = await serve(KeyError("broken part"))
     async with client:
         got, headers, text = await ask(client, pipeline)
     assert (got, headers["Outcome"]) == (status, outcome)
     assert "KeyError" in json.loads(text)["detail"]
     assert "broken part" not in text
-    assert entry.in_flight == 0
+    assert handlers.in_flight == 0
 
 
-async def test_fault_inside_ends_a_stream_with_an_error_event():
+async def test_internal_error_ends_a_stream_with_an_error_event():
     client, _, _ = await serve(KeyError("broken part"))
     async with client:
         status, _, text = await ask(client, "summary", stream=True)
@@ -120,50 +122,50 @@
     assert "urn:sycamoreshed:error:internal" in text
 
 
-async def test_caller_that_goes_away_is_counted():
-    """A caller gives up; its request has not attained its deadline."""
-    client, entry, part = await serve(COMPLETE)
-    part.gate.clear()
+async def test_disconnected_caller_is_counted():
+    """A caller disconnects; its request must not count as complete."""
+    client, handlers, runner = await serve(COMPLETE)
+    runner.gate.clear()
     async with client:
         call = asyncio.create_task(ask(client, "summary"))
-        await part.begun.wait()
+        await runner.started.wait()
         call.cancel()
         await asyncio.gather(call, return_exceptions=True)
-        while entry.in_flight:
+        while handlers.in_flight:
             await asyncio.sleep(0)
         text = await (await client.get("/metrics")).text()
     assert (
         'sycamoreshed_requests_total{outcome="gone",pipeline="summary",'
         'team="gaucho"} 1.0'
     ) in text
-    assert part.finished == 0
+    assert runner.finished == 0
 
 
-async def test_keyed_run_goes_on_and_holds_up_a_drain():
-    """The caller of a ballot goes away while it is being cast.
+async def test_keyed_run_continues_and_delays_a_drain():
+    """The caller of a ballot disconnects while it is being cast.
 
-    An instance that stopped then would leave nobody who knows whether
-    the ballot was recorded.
+    If the instance stopped then, nobody could tell whether the ballot was
+    recorded.
     """
-    client, entry, part = await serve(b"{}")
-    part.gate.clear()
+    client, handlers, runner = await serve(b"{}")
+    runner.gate.clear()
     async with client:
         call = asyncio.create_task(ask(client, "ballot"))
-        await part.begun.wait()
+        await runner.started.wait()
         call.cancel()
         await asyncio.gather(call, return_exceptions=True)
-        while entry._open:
+        while handlers._open_requests:
             await asyncio.sleep(0)
-        assert entry.in_flight == 1
-        part.gate.set()
-        while entry.in_flight:
+        assert handlers.in_flight == 1
+        runner.gate.set()
+        while handlers.in_flight:
             await asyncio.sleep(0)
-    assert part.finished == 1
+    assert runner.finished == 1
 
 
-async def test_body_on_its_way_holds_up_a_drain():
-    """A request has begun to arrive when the instance stops accepting."""
-    client, entry, _ = await serve(COMPLETE)
+async def test_arriving_body_delays_a_drain():
+    """A request is arriving when the instance stops accepting."""
+    client, handlers, _ = await serve(COMPLETE)
     gate = asyncio.Event()
 
     async def body():
@@ -176,33 +178,33 @@
         call = asyncio.create_task(
             client.post(url, data=body(), headers=HEADERS)
         )
-        while not entry.in_flight:
+        while not handlers.in_flight:
             await asyncio.sleep(0)
-        entry.accepting = False
+        handlers.accepting = False
         gate.set()
         answer = await call
     assert answer.status == 200
-    assert entry.in_flight == 0
+    assert handlers.in_flight == 0
 
 
-async def test_nothing_new_is_accepted_while_draining():
-    client, entry, part = await serve(COMPLETE)
+async def test_new_requests_are_rejected_while_draining():
+    client, handlers, runner = await serve(COMPLETE)
     async with client:
         first = await ask(client, "summary")
-        entry.accepting = False
+        handlers.accepting = False
         second = await ask(client, "summary")
     assert first[0] == 200
     assert (second[0], second[1]["Outcome"]) == (503, "not-run")
     assert second[1]["Retry-After"] == "0"
-    assert part.finished == 1
+    assert runner.finished == 1
 
 
 async def test_outcomes_and_sheds_are_counted():
     failure = kinds.Failure(kinds.Kind.STAGE_FAILED, "x", sent=True)
-    client, entry, part = await serve(COMPLETE)
+    client, handlers, runner = await serve(COMPLETE)
     async with client:
         await ask(client, "summary")
-        part.result = failure
+        runner.result = failure
         await ask(client, "summary")
         await ask(client, "summary", unknown=1)
         text = await (await client.get("/metrics")).text()
@@ -216,15 +218,15 @@
         assert line in text
 
 
-async def test_no_slot_is_waited_for_while_the_store_is_away():
-    """The store is away while requests with a key come in.
+async def test_requests_wait_for_no_slot_while_the_store_is_unavailable():
+    """Requests with a key arrive while the store is unavailable.
 
-    Each would wait for a slot first, only to hear that nothing can be
-    recorded, and reads would wait behind it.
+    If each waited for a slot before its rejection, requests that can run
+    without the store would wait behind it.
     """
-    client, entry, part = await serve(COMPLETE)
-    part.refused = kinds.Failure(kinds.Kind.STORE_AWAY, "away")
+    client, handlers, runner = await serve(COMPLETE)
+    runner.early_answer = kinds.Failure(kinds.Kind.STORE_AWAY, "away")
     async with client:
         status, headers, _ = await ask(client, "ballot")
     assert (status, headers["Outcome"]) == (503, "not-run")
-    assert not part.begun.is_set()
+    assert not runner.started.is_set()
--- a/sycamoreshed/entry/tests/test_parsing.py
+++ b/sycamoreshed/entry/tests/test_parsing.py
@@ -1,4 +1,4 @@
-"""Reading a caller's request."""
+"""Parsing and checking callers' requests."""
 
 import pytest
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    "headers, pipeline, raw, kind, words",
+    "headers, pipeline, raw, kind, reason",
     [
         ({}, "summary", GOOD, kinds.Kind.UNKNOWN_TEAM, "team ''"),
         ({"Team": "x"}, "summary", GOOD, kinds.Kind.UNKNOWN_TEAM, "'x'"),
@@ -52,13 +52,13 @@
         ({**TEAM, **LONG}, "ballot", GOOD, BAD, "Idempotency-Key"),
     ],
 )
-def test_checks(headers, pipeline, raw, kind, words):
+def test_checks(headers, pipeline, raw, kind, reason):
     result = parse(headers, pipeline, raw)
     if kind is None:
-        assert isinstance(result, parsing.Ask)
+        assert isinstance(result, parsing.ParsedCall)
         return
     assert (result.kind, result.sent) == (kind, False)
-    assert words in result.reason
+    assert reason in result.reason
     assert 400 <= kinds.answer_for(result).status < 500
 
 
@@ -82,15 +82,18 @@
         ),
     ],
 )
-def test_refused_unread_may_have_run_before(headers, pipeline, expected):
-    """A vote that counted must not be denied by a check of its repetition.
+def test_earlier_may_have_run(headers, pipeline, expected):
+    """A rejected retry must not deny that the first vote was counted.
 
-    Its pipeline may have been withdrawn since it was cast.
+    The pipeline may have been withdrawn since the vote was cast.
     """
-    assert parsing.in_doubt(headers, pipeline, builders.config()) is expected
+    assert (
+        parsing.earlier_may_have_run(headers, pipeline, builders.config())
+        is expected
+    )
 
 
-def test_stream_of_what_may_not_be_repeated_is_refused():
+def test_stream_of_unrepeatable_stage_is_rejected():
     headers = {**TEAM, "Idempotency-Key": "k"}
     result = parse(headers, "ballot", b'{"input": 1, "stream": true}')
     assert result.kind == BAD
@@ -111,13 +114,13 @@
     assert getattr(parse(config=config), "kind", None) == kind
 
 
-def test_withdrawn_pipeline_is_told_from_an_unknown_one():
+def test_withdrawn_pipeline_differs_from_an_unknown_one():
     note = builders.note(1, withdrawn={"pipelines": ["summary"]})
     config = state.apply_note(builders.config(), note)
     assert parse(config=config).kind == kinds.Kind.WITHDRAWN
 
 
-def test_deadline_counts_from_arrival_and_has_a_default():
+def test_deadline_starts_at_arrival_and_has_a_default():
     assert parse().request.deadline == 105.0
     short = parse({**TEAM, "Deadline-Ms": "250"})
     assert short.request.deadline == 100.25
--- a/sycamoreshed/entry/tests/test_servers.py
+++ b/sycamoreshed/entry/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown, step by step."""
+"""Order and duration of the graceful shutdown."""
 
 import asyncio
 import types
@@ -9,35 +9,41 @@
 
 
 class Callers:
-    """Requests in flight until a moment."""
+    """Fake callers with a request in flight until `busy_until`."""
 
-    def __init__(self, *, until, deadline, clock):
-        self._until = until
+    def __init__(self, *, busy_until, deadline, clock):
+        self._busy_until = busy_until
         self._clock = clock
         self.latest_deadline = deadline
         self.accepting = True
 
     async def wait_until_read(self):
-        """Return at once: nothing waits to be read."""
+        """Return at once: no request is waiting to be read."""
 
     @property
     def in_flight(self):
-        return int(self._clock() < self._until)
+        return int(self._clock() < self._busy_until)
 
 
-async def drain(monkeypatch, *, until, deadline, drain_s):
-    """Run a drain on a clock of its own; return its time and callers."""
+async def drain(monkeypatch, *, busy_until, deadline, drain_s):
+    """Run a drain on a fake clock.
+
+    Return the time of its end, the callers, and for each sleep its time
+    and whether requests were accepted.
+    """
     now = [0.0]
-    refused = []
+    sleeps = []
 
     async def sleep(seconds):
-        refused.append((now[0], callers.accepting))
+        sleeps.append((now[0], callers.accepting))
         now[0] += seconds
 
     monkeypatch.setattr(servers.asyncio, "sleep", sleep)
     stopping = asyncio.Event()
     stopping.set()
-    callers = Callers(until=until, deadline=deadline, clock=lambda: now[0])
+    callers = Callers(
+        busy_until=busy_until, deadline=deadline, clock=lambda: now[0]
+    )
     core = types.SimpleNamespace(
         stopping=stopping,
         settings=types.SimpleNamespace(grace_s=2.0, drain_s=drain_s),
@@ -45,32 +51,32 @@
         part={"callers": callers}.get,
     )
     await servers.drain(core)
-    return now[0], callers, refused
+    return now[0], callers, sleeps
 
 
 @pytest.mark.parametrize(
-    "until, deadline, drain_s, ends",
+    "busy_until, deadline, drain_s, ends",
     [
         (0.0, 0.0, 30.0, 2.0),
         (3.0, 5.0, 30.0, 3.0),
-        # A request that is allowed more than the drain is.
+        # A request with a deadline beyond the end of the drain time.
         (20.0, 20.0, 1.0, 20.0),
-        # One that does not end although it should.
+        # A request that does not end by its deadline.
         (999.0, 5.0, 30.0, 32.0),
         (999.0, 50.0, 30.0, 51.0),
     ],
 )
-async def test_drain_waits_for_what_is_in_flight(
-    monkeypatch, until, deadline, drain_s, ends
+async def test_drain_waits_for_requests_in_flight(
+    monkeypatch, busy_until, deadline, drain_s, ends
 ):
-    """An instance is stopped while requests run.
+    """An instance is stopped while requests are in flight.
 
-    Callers whose request has time left would see it cut off.
+    Requests must not be aborted before their deadline.
     """
-    end, callers, refused = await drain(
-        monkeypatch, until=until, deadline=deadline, drain_s=drain_s
+    end, callers, sleeps = await drain(
+        monkeypatch, busy_until=busy_until, deadline=deadline, drain_s=drain_s
     )
     assert end == pytest.approx(ends, abs=0.2)
-    assert refused[0] == (0.0, True)
+    assert sleeps[0] == (0.0, True)
     assert not callers.accepting
-    assert not any(accepting for _, accepting in refused[1:])
+    assert not any(accepting for _, accepting in sleeps[1:])
--- a/sycamoreshed/entry/tests/test_sockets.py
+++ b/sycamoreshed/entry/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Addresses are taken first."""
+"""Binding of the daemon's addresses before any connection is opened."""
 
 import socket
 
@@ -10,10 +10,11 @@
 from sycamoreshed.kernel import kernel
 
 
-def test_addresses_are_taken_before_any_connection_can_leave():
-    """A daemon's own connection holds the port it is to listen on.
+def test_addresses_are_bound_before_connections_are_opened():
+    """An outgoing connection may occupy the port the daemon listens on.
 
-    It would not start, now and then, for no cause an operator can see.
+    The daemon would then sometimes fail to start, for a cause that is
+    invisible to its operator.
     """
     names = [entry.name for entry in kernel.start_order(kernel._plugins)]
     assert names.index("sockets") < names.index("web")
@@ -21,18 +22,18 @@
 
 
 @pytest.mark.parametrize("host", ["127.0.0.1", "::1"])
-def test_taken_address_is_a_settings_error(host):
+def test_address_in_use_is_a_settings_error(host):
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     with socket.socket(family) as other:
         other.bind((host, 0))
         other.listen()
         port = other.getsockname()[1]
-        with pytest.raises(exceptions.CheckError) as caught:
+        with pytest.raises(exceptions.CheckError) as raised:
             sockets.bind(f"[{host}]:{port}", path="$.public")
-    assert caught.value.path == "$.public"
+    assert raised.value.path == "$.public"
 
 
-async def test_bound_port_is_not_given_to_connections():
+async def test_bound_port_is_not_used_for_connections():
     with sockets.bind("127.0.0.1:0", path="$.public") as bound:
         with socket.socket() as other, pytest.raises(OSError):
             other.bind(bound.getsockname())
