--- a/sycamoreshed/entry/backlog.py
+++ b/sycamoreshed/entry/backlog.py
@@ -7,12 +7,12 @@
 POLL_INTERVAL_S = 0.02
 # Consecutive polls without a new request.
 QUIET_POLLS = 3
-# Otherwise callers that keep sending would delay a shutdown for ever.
+# Limits the wait: callers that keep sending would delay a shutdown for ever.
 MAX_WAIT_S = 1.0
 
 
 async def wait_until_read(received, clock):
-    """Return once no new request has been read for a few polls.
+    """Wait until a few polls in a row find no new request.
 
     Parameters
     ----------
@@ -23,10 +23,12 @@
 
     Notes
     -----
+    Returns after `MAX_WAIT_S` at the latest.
+
     A process that was paused or short of processor time may still have
-    requests in its socket buffers when a timer fires.  A poll that took far
-    longer than its interval is ignored: the event loop runs timers before
-    it reads sockets.
+    requests in its socket buffers when a timer fires, since the event loop
+    runs timers before it reads sockets.  So a poll that took more than
+    twice its interval counts as if a request had been read.
     """
     wait_end = clock() + MAX_WAIT_S
     quiet_polls = 0
--- a/sycamoreshed/entry/callers.py
+++ b/sycamoreshed/entry/callers.py
@@ -20,7 +20,8 @@
 # A caller that takes longer to send its body would occupy a handler and
 # delay the end of a drain to no purpose.
 BODY_TIMEOUT_S = 10.0
-# Metric label in place of an outcome when the caller disconnected.
+# Metric label in place of an outcome for an admitted run that is cancelled,
+# or that raises after its caller disconnected.
 DISCONNECTED = "gone"
 
 
@@ -48,10 +49,11 @@
 
     @property
     def in_flight(self):
-        """Open requests and runs with a key; zero if nothing is left to do.
+        """Open requests plus runs with a key; zero if nothing is left to do.
 
         Notes
         -----
+        A run with a key counts twice while its caller is connected.
         Includes more than admission counts: a request whose body is still
         arriving is not admitted yet, and one whose caller disconnected may
         still run.  A drain that ignored them would abort them.
@@ -167,7 +169,8 @@
         request = parsed.request
         if request.key is not None:
             # Continues if its caller disconnects, so that its outcome is
-            # recorded; until then it occupies its slot and delays a drain.
+            # recorded.  It occupies its slot and delays a drain until it
+            # ends.
             task = asyncio.create_task(
                 self._run_keyed(http, parsed, started_at)
             )
@@ -223,7 +226,7 @@
             result = answers.response(result)
         outcome = result.headers["Outcome"]
         if outcome == kinds.Outcome.COMPLETE:
-            outcome = self._outcome(request)
+            outcome = self._counted_outcome(request)
         self._count(request, outcome, started_at)
         return result
 
@@ -255,10 +258,11 @@
         else:
             data = msgspec.Raw(answers.encode(request, result))
             await stream.send("done", data)
-            self._count(request, self._outcome(request), started_at)
+            self._count(request, self._counted_outcome(request), started_at)
         return await stream.end()
 
-    def _outcome(self, request):
+    def _counted_outcome(self, request):
+        """Return the outcome to count for a complete answer."""
         if self._core.clock() > request.deadline:
             return kinds.Outcome.LATE
         return kinds.Outcome.COMPLETE
@@ -272,8 +276,9 @@
 
 
 def _unknown_outcome(err):
-    # How far the run got is unknown, so the outcome "failed" would be wrong:
-    # it invites the caller to send the request again under a new key.
+    # This request, or an earlier one with its key, may have run.  The outcome
+    # "failed" would be wrong: it invites the caller to send the request again
+    # under a new key.
     logger.opt(exception=err).error("run with a key failed")
     return guard.internal_failure(err)._replace(
         kind=kinds.Kind.OUTCOME_UNKNOWN
--- a/sycamoreshed/entry/daemon.py
+++ b/sycamoreshed/entry/daemon.py
@@ -4,8 +4,8 @@
 import os
 import signal
 
-# Without this uvloop opens an io_uring, which the platform forbids.  It
-# reads the variable when the first loop is created.
+# Without this uvloop opens an io_uring, which the platform forbids.
+# uvloop reads the variable when the first loop is created.
 os.environ["UV_USE_IO_URING"] = "0"
 
 import uvloop  # noqa: E402
--- a/sycamoreshed/entry/events.py
+++ b/sycamoreshed/entry/events.py
@@ -41,7 +41,7 @@
     Notes
     -----
     The server-sent events library for aiohttp supports only GET.  A call
-    has a body, so events, of three lines each, are encoded here.
+    has a body, so the few lines of an event are encoded here.
     """
 
     def __init__(self):
--- a/sycamoreshed/entry/noteroutes.py
+++ b/sycamoreshed/entry/noteroutes.py
@@ -129,7 +129,7 @@
 
     async def _fetch_versions(self):
         alive = self._gossip.view.alive(self._core.clock())
-        names = {item.name for item in alive}
+        alive_names = {item.name for item in alive}
         semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
         versions = await asyncio.gather(
             *[self._fetch_version(semaphore, i) for i in alive]
@@ -141,7 +141,7 @@
         unreachable = [
             item.name
             for item in self._gossip.view.known()
-            if item.name not in names
+            if item.name not in alive_names
         ]
         return {"regions": regions, "out_of_reach": sorted(unreachable)}
 
@@ -182,7 +182,7 @@
 
 
 def _rejection(verdict):
-    """Return the answer for a rejected note, with the winner if any."""
+    """Return the answer for a rejected note, with what it conflicts with."""
     details = problems.document(verdict.failure)
     if verdict.winner is not None:
         details["winner"] = {
--- a/sycamoreshed/entry/parsing.py
+++ b/sycamoreshed/entry/parsing.py
@@ -1,4 +1,4 @@
-"""Parse and check callers' requests without calling an endpoint."""
+"""Parse and check callers' requests, before any endpoint is called."""
 
 import math
 import typing
@@ -12,11 +12,11 @@
 
 __all__ = ["ParsedCall", "check_access", "earlier_may_have_run", "parse"]
 
-TEAM = "Team"
-KEY = "Idempotency-Key"
-REPEAT = "Idempotency-Repeat"
-DEADLINE = "Deadline-Ms"
-PRIORITY = "Priority"
+TEAM_HEADER = "Team"
+KEY_HEADER = "Idempotency-Key"
+REPEAT_HEADER = "Idempotency-Repeat"
+DEADLINE_HEADER = "Deadline-Ms"
+PRIORITY_HEADER = "Priority"
 MAX_KEY_LENGTH = 200
 MAX_DEADLINE_MS = 600_000.0
 REPEAT_VALUES = {"true": True, "false": False}
@@ -72,8 +72,11 @@
     bool
         Also False if the pipeline ignores keys.
     """
-    key = headers.get(KEY, "")
-    if not 0 < len(key) <= MAX_KEY_LENGTH or headers.get(REPEAT) == "false":
+    key = headers.get(KEY_HEADER, "")
+    if (
+        not 0 < len(key) <= MAX_KEY_LENGTH
+        or headers.get(REPEAT_HEADER) == "false"
+    ):
         return False
     if config is None or config.entry("pipelines", pipeline) is None:
         return True
@@ -99,37 +102,38 @@
     -------
     ParsedCall or Failure
     """
-    team = headers.get(TEAM, "")
+    team = headers.get(TEAM_HEADER, "")
     failure = check_access(config, team, pipeline, region)
     if failure is not None:
         return failure
     spec = config.entry("pipelines", pipeline)
     try:
         body = checking.decode(raw, Body, source="body")
-        seconds = _deadline(headers, spec)
+        limit_s = _time_limit_s(headers, spec)
         priority = _priority(headers)
         repeat = _repeat(headers)
     except (exceptions.CheckError, ValueError) as err:
         return kinds.Failure(kinds.Kind.BAD_REQUEST, str(err))
-    key = headers.get(KEY)
-    critical = runner.unrepeatable_stage(config, pipeline)
-    if critical is not None and not key:
-        reason = f"stage {critical['name']!r} may not be repeated"
+    key = headers.get(KEY_HEADER)
+    unrepeatable = runner.unrepeatable_stage(config, pipeline)
+    if unrepeatable is not None and not key:
+        reason = f"stage {unrepeatable['name']!r} may not be repeated"
         return kinds.Failure(kinds.Kind.KEY_MISSING, reason)
-    if critical is not None and body.get("stream"):
-        # A stream cannot be replayed byte for byte to a later caller.
-        reason = f"stage {critical['name']!r} may not be streamed"
+    if unrepeatable is not None and body.get("stream"):
+        # A stream cannot be replayed byte for byte to a later request with
+        # the same key.
+        reason = f"stage {unrepeatable['name']!r} may not be streamed"
         return kinds.Failure(kinds.Kind.BAD_REQUEST, reason)
     if key is not None and len(key) > MAX_KEY_LENGTH:
-        return kinds.Failure(kinds.Kind.BAD_REQUEST, f"{KEY} too long")
+        return kinds.Failure(kinds.Kind.BAD_REQUEST, f"{KEY_HEADER} too long")
     request = requests.Request(
         id=uuid.uuid4().hex,
         team=team,
         pipeline=pipeline,
         config=config,
-        deadline=now + seconds,
+        deadline=now + limit_s,
         body=body["input"],
-        key=key if critical is not None else None,
+        key=key if unrepeatable is not None else None,
         priority=priority,
         repeat=repeat,
     )
@@ -137,27 +141,27 @@
 
 
 def _priority(headers):
-    text = headers.get(PRIORITY, DEFAULT_PRIORITY)
+    text = headers.get(PRIORITY_HEADER, DEFAULT_PRIORITY)
     if text not in PRIORITIES:
-        raise ValueError(f"{PRIORITY} must be one of 0 to 9")
+        raise ValueError(f"{PRIORITY_HEADER} must be one of 0 to 9")
     return int(text)
 
 
 def _repeat(headers):
-    text = headers.get(REPEAT)
+    text = headers.get(REPEAT_HEADER)
     if text is None:
         return None
     if text not in REPEAT_VALUES:
-        raise ValueError(f"{REPEAT} must be true or false")
+        raise ValueError(f"{REPEAT_HEADER} must be true or false")
     return REPEAT_VALUES[text]
 
 
-def _deadline(headers, spec):
-    text = headers.get(DEADLINE, spec["deadline_ms"])
+def _time_limit_s(headers, spec):
+    text = headers.get(DEADLINE_HEADER, spec["deadline_ms"])
     try:
         value = float(text)
     except ValueError:
         value = math.nan
     if not math.isfinite(value) or not 0 < value <= MAX_DEADLINE_MS:
-        raise ValueError(f"{DEADLINE} must be over 0, at most 600000")
+        raise ValueError(f"{DEADLINE_HEADER} must be over 0, at most 600000")
     return value / 1000
--- a/sycamoreshed/entry/problems.py
+++ b/sycamoreshed/entry/problems.py
@@ -23,7 +23,7 @@
         "outcome": answer.outcome,
     }
     if answer.retry_after is not None:
-        # In a stream the headers have already been sent.
+        # Also in the body: an error event in a stream cannot set headers.
         details["retry_after"] = answer.retry_after
     if request_id is not None:
         details["request"] = request_id
--- a/sycamoreshed/entry/servers.py
+++ b/sycamoreshed/entry/servers.py
@@ -64,7 +64,9 @@
 
 
 async def drain(core):
-    """Wait for the stop signal, then until no request is in flight.
+    """Wait for the start of a shutdown, then for the requests in flight.
+
+    The second wait has a time limit.
 
     Requests that arrive during the grace period are served, even if the
     process reads them only later.  Requests after that are answered with
@@ -85,8 +87,8 @@
     callers.accepting = False
     drain_end = core.clock() + settings.drain_s
     while callers.in_flight:
-        # Each request ends by its deadline, so waiting for the latest
-        # deadline aborts none, even if ``drain_s`` is shorter.
+        # Each parsed request ends by its deadline, so waiting for the latest
+        # deadline aborts none of them, even if ``drain_s`` is shorter.
         if core.clock() > max(
             drain_end, callers.latest_deadline + DEADLINE_MARGIN_S
         ):
--- a/sycamoreshed/entry/sockets.py
+++ b/sycamoreshed/entry/sockets.py
@@ -61,9 +61,9 @@
     Notes
     -----
     Outgoing connections use the same IP address and a port that the
-    system chooses.  When they were opened before the sockets were bound,
-    such a connection sometimes occupied the daemon's own port, and the
-    daemon did not start.
+    system chooses.  If opened before the sockets are bound, such a
+    connection may occupy the daemon's own port, and the daemon does not
+    start.
     """
     bound = {}
     try:
--- a/sycamoreshed/entry/tests/test_sockets.py
+++ b/sycamoreshed/entry/tests/test_sockets.py
@@ -33,7 +33,7 @@
     assert raised.value.path == "$.public"
 
 
-async def test_bound_port_is_not_used_for_connections():
+async def test_bound_port_cannot_be_bound_again():
     with sockets.bind("127.0.0.1:0", path="$.public") as bound:
         with socket.socket() as other, pytest.raises(OSError):
             other.bind(bound.getsockname())
--- a/sycamoreshed/pipeline/__init__.py
+++ b/sycamoreshed/pipeline/__init__.py
@@ -1,1 +1,1 @@
-"""Execution of admitted requests, stage by stage."""
+"""Execution of requests, stage by stage."""
--- a/sycamoreshed/pipeline/deadlines.py
+++ b/sycamoreshed/pipeline/deadlines.py
@@ -89,7 +89,7 @@
         return max(share_s, deadline - now - needed_s)
 
     def cannot_finish(self, pipeline, stages, index, deadline, now):
-        """Return whether the remaining stages would miss the deadline.
+        """Return whether the remaining stages will likely miss the deadline.
 
         Notes
         -----
--- a/sycamoreshed/pipeline/evidence.py
+++ b/sycamoreshed/pipeline/evidence.py
@@ -18,7 +18,7 @@
     membership : Membership
     endpoint : Endpoint
     result : StageAnswer or Failure
-    given_s : float
+    limit_s : float
         Time limit of the call in seconds.
     now : float
         Monotonic seconds.
--- a/sycamoreshed/pipeline/hedges.py
+++ b/sycamoreshed/pipeline/hedges.py
@@ -6,8 +6,9 @@
 
 __all__ = ["MOVED", "FirstTokenTimeout", "first_answer"]
 
-# Returned for a stream that was ended to continue on another endpoint.  It
-# does not count against the endpoint: in a burst all endpoints are slow.
+# Returned for a stream that was ended to continue it, if possible on another
+# endpoint.  It is not reported as evidence of the endpoint's health: in a
+# burst of requests all endpoints are slow.
 MOVED = kinds.Failure(kinds.Kind.LATE, "no token for long", sent=True)
 
 
--- a/sycamoreshed/pipeline/requests.py
+++ b/sycamoreshed/pipeline/requests.py
@@ -1,4 +1,4 @@
-"""Internal representation of requests, from admission to answer."""
+"""Internal representation of requests, from parsing to answer."""
 
 import typing
 
@@ -6,20 +6,21 @@
 
 
 class Request(typing.NamedTuple):
-    """An admitted request.
+    """A parsed and checked request.
 
     Parameters
     ----------
     id, team, pipeline : str
     config : Config
-        The configuration in force at admission; later versions do not
-        affect the request.
+        The configuration in force when the request was parsed; later
+        versions do not affect the request.
     deadline : float
         Monotonic seconds.
     body : object
         The caller's input.
     key : str or None
-        The caller's ``Idempotency-Key``.
+        The caller's ``Idempotency-Key``; None also if no stage of the
+        pipeline is unrepeatable.
     priority : int
         Lower values go first within a team.
     repeat : bool or None
@@ -39,7 +40,7 @@
 
     @property
     def spec(self):
-        """The `PipelineSpec` that was in force at admission."""
+        """The `PipelineSpec` in the configuration of the request."""
         return self.config.sections["pipelines"][self.pipeline]
 
 
--- a/sycamoreshed/pipeline/runner.py
+++ b/sycamoreshed/pipeline/runner.py
@@ -62,12 +62,12 @@
             such stage, whether any stage may have run.
         """
         stages = request.spec["stages"]
-        critical = unrepeatable_stage(request.config, request.pipeline)
+        unrepeatable = unrepeatable_stage(request.config, request.pipeline)
         payload = request.body
         sent = False
         for index, stage in enumerate(stages):
             is_last = index + 1 == len(stages)
-            is_gated = gate is not None and stage is critical
+            is_gated = gate is not None and stage is unrepeatable
             if is_gated:
                 early_result = await gate.before()
                 if early_result is not None:
@@ -78,11 +78,11 @@
             if is_gated:
                 result = await gate.after(result)
             if isinstance(result, kinds.Failure):
-                is_relevant = critical in (None, stage)
+                is_relevant = unrepeatable in (None, stage)
                 sent = sent or (result.sent and is_relevant)
                 reason = f"stage {stage['name']}: {result.reason}"
                 return result._replace(reason=reason, sent=sent)
-            sent = sent or critical in (None, stage)
+            sent = sent or unrepeatable in (None, stage)
             payload = result.output
         names = tuple(stage["name"] for stage in stages)
         return requests.Complete(payload, names)
@@ -98,7 +98,7 @@
             )
         budget_s = self._stage_times.budget(*timing)
         service = request.config.entry("services", stage["service"])
-        timer = self._metrics.stage_seconds.labels(
+        histogram = self._metrics.stage_seconds.labels(
             request.pipeline, stage["name"]
         )
         try:
@@ -119,7 +119,7 @@
                 )
         finally:
             ended_at = self._clock()
-            timer.observe(ended_at - now)
+            histogram.observe(ended_at - now)
         if not isinstance(result, kinds.Failure):
             self._stage_times.add(
                 request.pipeline, stage["name"], ended_at - now, ended_at
--- a/sycamoreshed/pipeline/streamed.py
+++ b/sycamoreshed/pipeline/streamed.py
@@ -12,16 +12,16 @@
 from sycamoreshed.pipeline import evidence
 from sycamoreshed.pipeline import hedges
 
-__all__ = ["StreamedStage", "prefix_of"]
+__all__ = ["StreamedStage", "prefix_hash"]
 
-# Failed attempts in a row.  An attempt that added tokens starts a new row,
-# so a long answer may break more often.
+# Consecutive failed attempts.  An attempt that added tokens counts as the
+# first of a new sequence, so a long answer may break more often.
 MAX_FAILED_ATTEMPTS = 3
 PREFIX_BYTES = 256
 
 
-def prefix_of(payload):
-    """Return a hash of the first bytes of a prompt.
+def prefix_hash(payload):
+    """Return a hash of the first bytes of a payload.
 
     Equal beginnings give equal hashes on every instance, so instances
     choose the same engine without exchanging messages.
@@ -62,7 +62,7 @@
             reached an engine.
         """
         self._budget.record_first_attempt()
-        prefix = prefix_of(payload)
+        prefix = prefix_hash(payload)
         tokens = []
         tried = set()
         sent = False
@@ -118,7 +118,8 @@
     ):
         started_at = self._clock()
         self._router.loads.record_start(endpoint)
-        # The recorded result if the attempt is cancelled from outside.
+        # Recorded if the attempt is cancelled or the caller cannot be
+        # written to.
         result = kinds.Failure(kinds.Kind.INTERNAL, "cancelled", sent=True)
         try:
             # The client limits each wait for the engine; this limit also
--- a/sycamoreshed/pipeline/tests/test_hedges.py
+++ b/sycamoreshed/pipeline/tests/test_hedges.py
@@ -60,13 +60,13 @@
     budget = budgets.RetryBudget(share=0.0, reserve=reserve)
     try:
         async with asyncio.timeout(0.2) as timer:
-            patience = hedges.FirstTokenTimeout(
+            first_token = hedges.FirstTokenTimeout(
                 timer=timer, delay_s=0.0, budget=budget
             )
             await asyncio.Event().wait()
     except TimeoutError:
         pass
-    assert patience.moved is moves
+    assert first_token.moved is moves
     assert budget.tokens == 0
 
 
--- a/sycamoreshed/pipeline/tests/test_runner.py
+++ b/sycamoreshed/pipeline/tests/test_runner.py
@@ -66,7 +66,7 @@
         (["encoder", "ballot", "encoder"], "s2", UNSENT, True),
     ],
 )
-async def test_failure_reports_whether_decisive_stage_may_have_run(
+async def test_failure_reports_whether_unrepeatable_stage_may_have_run(
     services, failing, failure, sent
 ):
     """A stage fails before, at or after the one that must not be repeated.
--- a/sycamoreshed/pipeline/tests/test_streamed.py
+++ b/sycamoreshed/pipeline/tests/test_streamed.py
@@ -129,6 +129,6 @@
 
 def test_equal_beginnings_give_equal_prefixes():
     long = "x" * streamed.PREFIX_BYTES
-    assert streamed.prefix_of(long + "a") == streamed.prefix_of(long + "b")
-    assert streamed.prefix_of("a") != streamed.prefix_of("b")
+    assert streamed.prefix_hash(long + "a") == streamed.prefix_hash(long + "b")
+    assert streamed.prefix_hash("a") != streamed.prefix_hash("b")
     assert endpoints.Chunk(0, "a").finish is None
--- a/sycamoreshed/pipeline/unary.py
+++ b/sycamoreshed/pipeline/unary.py
@@ -13,10 +13,12 @@
 __all__ = ["UnaryStage"]
 
 MAX_ATTEMPTS = 3
+# Upper limit of the random pause before the first retry, doubled for each
+# further one: a call whose endpoint fails at once is retried elsewhere with
+# little delay.
 BACKOFF_S = 0.02
-# A call whose endpoint fails at once is retried on another with little
-# delay.  With less time than this a call cannot end in time and would only
-# load the endpoint.
+# With less time than this a call cannot end in time and would only load the
+# endpoint.
 MIN_TIME_S = 0.005
 
 
@@ -85,7 +87,7 @@
         return self._router.loads.hedge_delay_s(endpoint, now)
 
     def _hedge(self, request, stage, payload, deadline, tried):
-        """Return a hedged attempt, or None if there may be none."""
+        """Return a second attempt, paid for by the budget, or None."""
         now = self._clock()
         if deadline - now < MIN_TIME_S or self._budget.tokens < 1:
             return None
