--- a/sycamoreshed/pipeline/runner.py
+++ b/sycamoreshed/pipeline/runner.py
@@ -92,6 +92,8 @@
         stages = request.spec["stages"]
         stage = stages[index]
         timing = (request.pipeline, stages, index, request.deadline, now)
+        # Not before the first stage: there, admission has decided whether the
+        # remaining time suffices.
         if index and self._stage_times.cannot_finish(*timing):
             return kinds.Failure(
                 kinds.Kind.LATE, "less time left than it takes"
