--- a/sycamoreshed/pipeline/__init__.py
+++ b/sycamoreshed/pipeline/__init__.py
@@ -1,1 +1,1 @@
-"""Running a request through its stages."""
+"""Execution of requests, stage by stage."""
--- a/sycamoreshed/pipeline/requests.py
+++ b/sycamoreshed/pipeline/requests.py
@@ -1,4 +1,4 @@
-"""Requests as the instance carries them from admission to answer."""
+"""Internal representation of requests, from parsing to answer."""
 
 import typing
 
@@ -6,24 +6,26 @@
 
 
 class Request(typing.NamedTuple):
-    """An admitted request.
+    """A parsed and checked request.
 
     Parameters
     ----------
     id, team, pipeline : str
     config : Config
-        The version in force when it was admitted; it keeps it.
+        The configuration in force when the request was parsed; later
+        versions do not affect the request.
     deadline : float
         Monotonic seconds.
     body : object
         The caller's input.
     key : str or None
-        The caller's ``Idempotency-Key``.
+        The caller's ``Idempotency-Key``; None also if no stage of the
+        pipeline is unrepeatable.
     priority : int
-        Lower goes first within a team.
+        Lower values go first within a team.
     repeat : bool or None
-        Whether an earlier request with the key may have run, as far as
-        the caller knows; None if the caller does not tell.
+        Whether an earlier request with the key may have run according to
+        the caller; None if the caller did not state it.
     """
 
     id: str
@@ -38,12 +40,12 @@
 
     @property
     def spec(self):
-        """The `PipelineSpec` the request was admitted under."""
+        """The `PipelineSpec` in the configuration of the request."""
         return self.config.sections["pipelines"][self.pipeline]
 
 
 class Complete(typing.NamedTuple):
-    """A whole answer.
+    """The complete answer to a request.
 
     Parameters
     ----------
