--- a/sycamoreshed/gateway/control.py
+++ b/sycamoreshed/gateway/control.py
@@ -1,4 +1,4 @@
-"""What instances ask of each other, on the control address."""
+"""Handlers of the control address, for other instances and operators."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
 
 
 class ControlHandlers:
-    """Handlers of calls from other instances and from operators.
+    """Handles requests from other instances and from operators.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
     metrics : GatewayMetrics
     clock : callable
     status : callable
-        Returns what `sycamoreshed status` shows.
+        Returns the content of `sycamoreshed status`.
     """
 
     def __init__(
@@ -38,8 +38,8 @@
         self._status = status
         self.in_flight = 0
 
-    async def tell(self, http):
-        """Answer with what is newer than the asker's copy of a table."""
+    async def table_update(self, http):
+        """Return what is newer than the requester's copy of a table."""
         table = http.query["table"]
         after = int(http.query["after"])
         return _json(
@@ -47,14 +47,14 @@
         )
 
     async def watch(self, http):
-        """Answer once a table has changed."""
+        """Return the tables once one has changed or the wait is over."""
         request = msgspec.json.decode(
             await http.read(), type=updates.WatchRequest
         )
         return _json(await self._watch_server.answer(request))
 
     async def run(self, http):
-        """Run the stages of a job with the endpoints of a zone."""
+        """Run the stages of a job on the endpoints of a zone."""
         job = msgspec.json.decode(await http.read(), type=pieces.Job)
         self.in_flight += 1
         try:
@@ -65,7 +65,7 @@
             self.in_flight -= 1
 
     async def free(self, http):
-        """Give up results."""
+        """Free results of stages in a zone."""
         freed = msgspec.json.decode(
             await http.read(), type=list[delegation.FreedResult]
         )
@@ -73,13 +73,13 @@
         return web.Response(status=204)
 
     async def metrics(self, _http):
-        """Answer with all metrics."""
+        """Return all metrics."""
         return web.Response(
             body=self._metrics.render(), content_type="text/plain"
         )
 
     async def status(self, _http):
-        """Answer with what this instance is and runs."""
+        """Return the status of this instance."""
         return _json(self._status())
 
 
@@ -89,16 +89,16 @@
     )
 
 
-def _watch(core):
-    """Have the metrics show ages and lines left out."""
+def _export_gauges(core):
+    """Export the ages of tables and the number of dropped log lines."""
     catalog = core.part("catalog")
-    shown = core.part("gateway_metrics")
+    metrics = core.part("gateway_metrics")
     for table in catalog.tables:
-        shown.watch_age(
+        metrics.export_age(
             table, lambda table=table: catalog.age(table, core.clock())
         )
     dropped = core.part("journal").dropped
-    shown.watch_dropped(lambda: sum(dropped.values()))
+    metrics.export_dropped(lambda: sum(dropped.values()))
 
 
 @kernel.plugin(
@@ -116,8 +116,8 @@
         "relay",
     ),
 )
-async def inner(core):
-    """Put the handlers of inner calls on the control address."""
+async def control(core):
+    """Add the handlers to the control address."""
 
     def status():
         catalog = core.part("catalog")
@@ -144,8 +144,8 @@
         clock=core.clock,
         status=status,
     )
-    _watch(core)
-    core.control.router.add_get(following.PATH, handlers.tell)
+    _export_gauges(core)
+    core.control.router.add_get(following.PATH, handlers.table_update)
     core.control.router.add_post(relay.PATH, handlers.watch)
     core.control.router.add_post(delegation.RUN_PATH, handlers.run)
     core.control.router.add_post(delegation.FREE_PATH, handlers.free)
--- a/sycamoreshed/gateway/daemon.py
+++ b/sycamoreshed/gateway/daemon.py
@@ -8,7 +8,7 @@
 import time
 
 # Without this uvloop opens an io_uring, which the platform forbids; it
-# reads the variable when the first loop is made.
+# reads the variable when the first loop is created.
 os.environ["UV_USE_IO_URING"] = "0"
 
 import uvloop  # noqa: E402
@@ -39,15 +39,15 @@
 
 __all__ = ["serve"]
 
-# Between looks at the settings file: it may change without a signal.
-RELOAD_S = 5.0
-# Settings that are taken over from a changed file; addresses, names and the
-# bounds that others derive from need a restart, which is told in the log.
-RELOADED = frozenset({"peers", "retry_ratio", "retry_slack"})
+# Between checks of the settings file, which may change without a signal.
+SETTINGS_POLL_S = 5.0
+# Settings that are applied when the file changes.  Addresses, names and the
+# limits that others derive from need a restart, which is logged.
+RELOADABLE = frozenset({"peers", "retry_ratio", "retry_slack"})
 
 
 def serve(path):
-    """Run the daemon until it is told to stop.
+    """Run the daemon until SIGTERM or SIGINT.
 
     Parameters
     ----------
@@ -61,10 +61,10 @@
 async def _serve(settings, path):
     core = kernel.Kernel(settings=settings)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, core.stopping.set)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, core.stopping.set)
     loop.add_signal_handler(
-        signal.SIGHUP, functools.partial(_read, core, path)
+        signal.SIGHUP, functools.partial(_reload, core, path)
     )
     await core.run(
         until=functools.partial(_run, path=path), wanted=("listeners",)
@@ -80,29 +80,29 @@
 
 
 async def _watch_settings(core, path):
-    seen = _modified(path)
+    last_mtime_ns = _mtime_ns(path)
     while True:
-        await asyncio.sleep(RELOAD_S)
-        found = _modified(path)
-        if found != seen:
-            seen = found
-            _read(core, path)
+        await asyncio.sleep(SETTINGS_POLL_S)
+        mtime_ns = _mtime_ns(path)
+        if mtime_ns != last_mtime_ns:
+            last_mtime_ns = mtime_ns
+            _reload(core, path)
 
 
-def _modified(path):
+def _mtime_ns(path):
     try:
         return os.stat(path).st_mtime_ns
     except OSError:
         return None
 
 
-def _read(core, path):
-    """Take over what may change while running; tell what may not."""
-    events = core.part("journal")
+def _reload(core, path):
+    """Apply reloadable settings; log the others that have changed."""
+    event_log = core.part("journal")
     try:
         settings = schema.load(path)
     except exceptions.CheckError as err:
-        events.write("reload_bad", why=str(err))
+        event_log.write("reload_bad", why=str(err))
         return
     changed = {
         name
@@ -111,15 +111,18 @@
     }
     core.part("peers").seeds = tuple(settings.peers)
     core.part("budget").set_limits(settings.retry_ratio, settings.retry_slack)
-    events.write(
+    event_log.write(
         "reload",
-        taken=sorted(changed & RELOADED),
-        after_restart=sorted(changed - RELOADED),
+        taken=sorted(changed & RELOADABLE),
+        after_restart=sorted(changed - RELOADABLE),
     )
 
 
 def run(path):
-    """Run the daemon; tell on standard error if the settings are wrong."""
+    """Run the daemon and return its exit status.
+
+    Errors, such as invalid settings, are printed on standard error.
+    """
     try:
         serve(path)
     except exceptions.SycamoreshedError as err:
--- a/sycamoreshed/gateway/deadline_history.py
+++ b/sycamoreshed/gateway/deadline_history.py
@@ -1,21 +1,22 @@
-"""Tells who comes back from who comes new."""
+"""Tells retries of callers from first attempts by their deadlines."""
 
 __all__ = ["DeadlineHistory"]
 
-# Least share of a route's longest deadline on a first attempt; a shorter one
-# is taken for a retry.
-NEW_SHARE = 0.85
-# Routes that are remembered; operators may configure thousands.
-MOST_ROUTES = 2000
+# Minimum share of a route's longest deadline on a first attempt; a request
+# with a shorter one is taken for a retry.
+FIRST_ATTEMPT_SHARE = 0.85
+# Beyond this the history is cleared: operators may configure thousands.
+MAX_ROUTES = 2000
 
 
 class DeadlineHistory:
-    """The time callers of each route give at the most.
+    """Longest deadline, in seconds, that callers of each route have sent.
 
-    Callers of a route give all their requests about the same time.  One
-    that was refused and comes back has less left, and its answer is due
-    as much earlier.  Taken for a new one, it would be served late in
-    place of another that could have been in time.
+    Callers of a route give all their requests about the same deadline.
+    A retry of a rejected request has less time remaining, and its
+    response is due that much earlier.  Treated as a first attempt, it
+    would be served late in place of another request that could have been
+    in time.
 
     Examples
     --------
@@ -27,14 +28,22 @@
     """
 
     def __init__(self):
-        self._most = {}
+        self._longest_s = {}
 
     def observe(self, route, deadline_s):
-        """Return how long a caller has waited, at the least, before."""
-        most = self._most.get(route, 0.0)
-        if deadline_s >= most:
-            if len(self._most) >= MOST_ROUTES:
-                self._most.clear()
-            self._most[route] = deadline_s
+        """Return the minimum time the caller waited before this request.
+
+        Parameters
+        ----------
+        route : str
+            Name of the route.
+        deadline_s : float
+            Time within which the caller expects the response.
+        """
+        longest_s = self._longest_s.get(route, 0.0)
+        if deadline_s >= longest_s:
+            if len(self._longest_s) >= MAX_ROUTES:
+                self._longest_s.clear()
+            self._longest_s[route] = deadline_s
             return 0.0
-        return max(0.0, NEW_SHARE * most - deadline_s)
+        return max(0.0, FIRST_ATTEMPT_SHARE * longest_s - deadline_s)
--- a/sycamoreshed/gateway/error_responses.py
+++ b/sycamoreshed/gateway/error_responses.py
@@ -1,4 +1,4 @@
-"""What callers are told when no endpoint's answer is passed on."""
+"""Error responses, for requests without an endpoint's response."""
 
 from aiohttp import web
 import msgspec
@@ -8,14 +8,16 @@
 
 __all__ = ["error_response", "status_of"]
 
-# Statuses that the platform's callers take as "has not run and never
-# will"; told only when that is true, and then they may come back.
-NOT_RUN = 503
-# After a run that failed or whose end is not known.
-FAILED = 502
-UNKNOWN = 504
-# Told as they are, whatever was sent: the request itself is at fault.
-_CALLERS_FAULT = frozenset(
+# The platform's callers take this status as "has not run and never will".
+# It is sent only if that is true; they may then retry.
+NOT_RUN_STATUS = 503
+# Of requests that may have run: they failed, or their outcome is unknown
+# after a timeout.
+FAILED_STATUS = 502
+UNKNOWN_STATUS = 504
+# These keep the status of their kind, whether or not anything was sent: the
+# request itself is invalid.
+_CLIENT_ERRORS = frozenset(
     (
         kinds.Kind.BAD_REQUEST,
         kinds.Kind.TOO_LARGE,
@@ -23,11 +25,11 @@
         kinds.Kind.UNKNOWN_PATH,
     )
 )
-_LATE = frozenset((kinds.Kind.LATE, kinds.Kind.OUTCOME_UNKNOWN))
+_TIMEOUTS = frozenset((kinds.Kind.LATE, kinds.Kind.OUTCOME_UNKNOWN))
 
 
 def status_of(failure):
-    """Return the status a failure is told with.
+    """Return the HTTP status for a failure.
 
     Examples
     --------
@@ -36,28 +38,28 @@
     >>> status_of(kinds.Failure(kinds.Kind.LATE, "silent", sent=True))
     504
     """
-    if failure.kind in _CALLERS_FAULT:
+    if failure.kind in _CLIENT_ERRORS:
         return kinds.ANSWERS[failure.kind].status
     if not failure.sent:
-        return NOT_RUN
-    return UNKNOWN if failure.kind in _LATE else FAILED
+        return NOT_RUN_STATUS
+    return UNKNOWN_STATUS if failure.kind in _TIMEOUTS else FAILED_STATUS
 
 
 def error_response(failure, request_id, retry_after):
-    """Return the HTTP answer of a failure.
+    """Return the HTTP response for a failure.
 
     Parameters
     ----------
     failure : Failure
     request_id : str
     retry_after : float or None
-        Seconds after which coming back makes sense.
+        Seconds for `Retry-After`, set only if the request has not run.
     """
     status = status_of(failure)
     details = problems.document(failure, request_id)
     details["status"] = status
     headers = {}
-    if status == NOT_RUN and retry_after is not None:
+    if status == NOT_RUN_STATUS and retry_after is not None:
         headers["Retry-After"] = f"{retry_after:.2f}"
     return web.Response(
         status=status,
--- a/sycamoreshed/gateway/handler.py
+++ b/sycamoreshed/gateway/handler.py
@@ -1,4 +1,4 @@
-"""From a caller's HTTP request to its HTTP answer."""
+"""Handles the HTTP requests of callers."""
 
 import asyncio
 
@@ -15,55 +15,55 @@
 
 __all__ = ["Handler"]
 
-# Told to callers that are refused for a passing reason.
-RETRY_SOON_S = 0.3
-# While this instance stops: another one serves them at once.
-RETRY_NOW_S = 0.0
-# For a request that names no deadline of its own.
+# Minimum `Retry-After` of requests that have not run.
+MIN_RETRY_AFTER_S = 0.3
+# While this instance stops, another one can serve the retry at once.
+DRAINING_RETRY_AFTER_S = 0.0
+# For requests without a deadline of their own.
 DEFAULT_DEADLINE_S = 60.0
 
 
-class _Cut(Exception):
-    """Ends a handler whose connection was closed within an answer."""
+class _ResponseAborted(Exception):
+    """Ends a handler that closed the connection during its response."""
 
 
 class Sink:
-    """Takes the events of a stream for a caller.
+    """Sends the events of a stream to a caller.
 
     Parameters
     ----------
     http : aiohttp.web.BaseRequest
     codec : Platform
-    closing : callable
-        Returns whether the connection is to be closed after the answer.
+    should_close : callable
+        Returns whether to close the connection after the response.
     """
 
-    def __init__(self, *, http, codec, closing):
+    def __init__(self, *, http, codec, should_close):
         self._http = http
         self._codec = codec
-        self._closing = closing
+        self._should_close = should_close
         self.response = None
         self.on_begin = None
 
     async def begin(self, response):
-        """Send the head of the answer, that of the first engine."""
+        """Send the head of the response, that of the first engine."""
         headers = self._codec.response_headers(response.headers)
         self.response = web.StreamResponse(
             status=response.status, reason=response.reason, headers=headers
         )
-        if self._closing():
+        if self._should_close():
             self.response.force_close()
         await self.response.prepare(self._http)
         if self.on_begin is not None:
             self.on_begin()
 
     async def send(self, data):
-        """Send whole events."""
+        """Send complete events."""
         await self.response.write(data)
 
 
 class Handler:
-    """Answers callers.
+    """Handles requests of callers.
 
     Parameters
     ----------
@@ -86,38 +86,40 @@
         self._metrics = metrics
         self._clock = clock
         self._stopping = stopping
-        self._waited = deadline_history.DeadlineHistory()
-        self._taken = 0
+        self._deadline_history = deadline_history.DeadlineHistory()
+        self._received = 0
         self.in_flight = 0
-        self.accepting = True
+        self.is_accepting = True
 
     async def __call__(self, http):
-        """Answer one request."""
-        began = self._clock()
-        self._taken += 1
+        """Handle one request."""
+        started_at = self._clock()
+        self._received += 1
         self.in_flight += 1
         route = None
         head = self._codec.parse_head(http.headers)
         try:
-            found = await self._admit(http, head, began)
-            if isinstance(found, kinds.Failure):
-                return self._refused(found, head, None, began)
-            route = found.route
-            return await self._serve(http, found, began)
-        except _Cut:
+            admitted = await self._admit(http, head, started_at)
+            if isinstance(admitted, kinds.Failure):
+                return self._error_response(admitted, head, None, started_at)
+            route = admitted.route
+            return await self._serve(http, admitted, started_at)
+        except _ResponseAborted:
             raise asyncio.CancelledError from None
         except (asyncio.CancelledError, ConnectionError):
             self._journal.write(
                 "caller_left",
                 request=head.request_id,
                 route=route.name if route else None,
-                took_s=round(self._clock() - began, 4),
+                took_s=round(self._clock() - started_at, 4),
+            )
+            self._metrics.record_ended(
+                route, "left", self._clock() - started_at
             )
-            self._metrics.ended(route, "left", self._clock() - began)
             raise
         except Exception as err:
-            # A fault of ours must not reach the caller as a bare 500, and
-            # whether the request ran is not known here.
+            # An internal error must not reach the caller as a bare 500, and
+            # whether the request ran is unknown here.
             self._journal.write(
                 "internal",
                 where=head.request_id,
@@ -126,16 +128,16 @@
             failure = kinds.Failure(
                 kinds.Kind.INTERNAL, "internal error", sent=True
             )
-            return self._refused(failure, head, route, began)
+            return self._error_response(failure, head, route, started_at)
         finally:
             self.in_flight -= 1
 
-    async def drained(self):
-        """Return once the requests that have arrived are read."""
-        await backlog.drained(lambda: self._taken, self._clock)
+    async def wait_for_backlog(self):
+        """Wait until the requests that have arrived are read."""
+        await backlog.drained(lambda: self._received, self._clock)
 
-    async def _admit(self, http, head, began):
-        """Return the `Request`, or the `Failure` that refuses it."""
+    async def _admit(self, http, head, started_at):
+        """Return the `Request`, or the `Failure` that rejects it."""
         configuration = self._catalog.configuration
         if not self._catalog.is_ready:
             return kinds.Failure(
@@ -150,15 +152,15 @@
             team = configuration.teams.get(head.key)
             if team is None:
                 return kinds.Failure(kinds.Kind.UNKNOWN_KEY, "no such key")
-        deadline = head.deadline_s
-        if deadline is None:
-            deadline = DEFAULT_DEADLINE_S
-        waited = self._waited.observe(route.name, deadline)
-        until = began + min(deadline, route.timeout_s)
-        body = await self._read(http, configuration.limits, until)
+        deadline_s = head.deadline_s
+        if deadline_s is None:
+            deadline_s = DEFAULT_DEADLINE_S
+        waited_s = self._deadline_history.observe(route.name, deadline_s)
+        deadline = started_at + min(deadline_s, route.timeout_s)
+        body = await self._read_body(http, configuration.limits, deadline)
         if isinstance(body, kinds.Failure):
             return body
-        if not self.accepting:
+        if not self.is_accepting:
             return kinds.Failure(kinds.Kind.DRAINING, "this instance stops")
         priority = requests.Priority(
             (team and team.priority) or 0, route.priority
@@ -170,7 +172,7 @@
             version=configuration.version,
             team=team.name if team else None,
             priority=priority,
-            left_s=round(until - began, 3),
+            left_s=round(deadline - started_at, 3),
         )
         return requests.Request(
             id=head.request_id,
@@ -183,12 +185,12 @@
             target=target,
             headers=http.headers,
             body=body,
-            started_at=began,
-            waited_s=waited,
-            deadline=until,
+            started_at=started_at,
+            waited_s=waited_s,
+            deadline=deadline,
         )
 
-    async def _read(self, http, limits, until):
+    async def _read_body(self, http, limits, deadline):
         if http.headers.get("Expect", "").lower() == "100-continue":
             http.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         length = http.content_length
@@ -197,7 +199,7 @@
         chunks = []
         size = 0
         try:
-            async with asyncio.timeout(max(0.0, until - self._clock())):
+            async with asyncio.timeout(max(0.0, deadline - self._clock())):
                 async for chunk in http.content.iter_any():
                     size += len(chunk)
                     if size > limits.body_bytes:
@@ -211,34 +213,34 @@
             return kinds.Failure(kinds.Kind.BAD_REQUEST, "body is not whole")
         return b"".join(chunks)
 
-    async def _serve(self, http, request, began):
+    async def _serve(self, http, request, started_at):
         sink = Sink(
-            http=http, codec=self._codec, closing=self._stopping.is_set
+            http=http, codec=self._codec, should_close=self._stopping.is_set
         )
-        left = max(0.0, request.deadline - self._clock())
+        remaining_s = max(0.0, request.deadline - self._clock())
         try:
-            async with limits.limit(left):
+            async with limits.limit(remaining_s):
                 outcome = await self._forwarder.forward(request, sink)
         except TimeoutError:
-            # Whatever was sent has been cancelled, and may have run.
+            # Calls that were sent have been cancelled, but may have run.
             outcome = forwarder.Outcome(
                 failure=kinds.Failure(
                     kinds.Kind.LATE, "deadline passed", sent=True
                 ),
                 has_started=sink.response is not None,
             )
-        return await self._finish(http, request, sink, outcome, began)
+        return await self._finish(http, request, sink, outcome, started_at)
 
-    async def _finish(self, http, request, sink, outcome, began):
+    async def _finish(self, http, request, sink, outcome, started_at):
         now = self._clock()
         if outcome.failure is not None:
             if sink.response is None:
-                return self._refused(
-                    outcome.failure, request.head, request.route, began
+                return self._error_response(
+                    outcome.failure, request.head, request.route, started_at
                 )
-            return self._cut(http, request, outcome, now)
+            return self._abort_response(http, request, outcome, now)
         if outcome.answer is not None:
-            response = self._whole(outcome.answer)
+            response = self._buffered_response(outcome.answer)
         else:
             response = sink.response
             await response.write_eof()
@@ -248,13 +250,13 @@
             status=response.status,
             endpoint=outcome.endpoint.id,
             first_s=outcome.first_s and round(outcome.first_s, 4),
-            took_s=round(now - began, 4),
+            took_s=round(now - started_at, 4),
             events=outcome.events,
         )
-        self._metrics.answered(request.route, outcome, now - began)
+        self._metrics.record_answered(request.route, outcome, now - started_at)
         return response
 
-    def _whole(self, answer):
+    def _buffered_response(self, answer):
         headers = self._codec.response_headers(answer.headers)
         response = web.Response(
             status=answer.status,
@@ -262,14 +264,14 @@
             headers=headers,
             body=answer.body,
         )
-        self._part(response)
+        self._close_if_stopping(response)
         return response
 
-    def _cut(self, http, request, outcome, now):
-        """Close the connection within an answer that has begun.
+    def _abort_response(self, http, request, outcome, now):
+        """Close the connection in the middle of a response.
 
-        Without the mark that ends it the caller sees that it is not
-        whole; ended politely, half an answer would look complete.
+        Without the end marker of the body the caller detects that the
+        response is truncated; ended normally, it would look complete.
         """
         self._journal.write(
             "broken",
@@ -280,20 +282,22 @@
             events=outcome.events,
             took_s=round(now - request.started_at, 4),
         )
-        self._metrics.ended(request.route, "broken", now - request.started_at)
+        self._metrics.record_ended(
+            request.route, "broken", now - request.started_at
+        )
         if http.transport is not None:
             http.transport.abort()
-        raise _Cut
+        raise _ResponseAborted
 
-    def _refused(self, failure, head, route, began):
+    def _error_response(self, failure, head, route, started_at):
         now = self._clock()
-        retry_after = max(RETRY_SOON_S, failure.retry_after or 0.0)
+        retry_after = max(MIN_RETRY_AFTER_S, failure.retry_after or 0.0)
         if failure.kind is kinds.Kind.DRAINING:
-            retry_after = RETRY_NOW_S
+            retry_after = DRAINING_RETRY_AFTER_S
         response = error_responses.error_response(
             failure, head.request_id, retry_after
         )
-        self._part(response)
+        self._close_if_stopping(response)
         configuration = self._catalog.configuration
         self._journal.write(
             "failed",
@@ -303,18 +307,18 @@
             kind=failure.kind,
             why=failure.reason,
             sent=failure.sent,
-            took_s=round(now - began, 4),
+            took_s=round(now - started_at, 4),
             version=configuration.version if configuration else None,
             age_s=round(min(1e6, self._catalog.age("settings", now)), 2),
         )
-        self._metrics.ended(route, failure.kind, now - began)
+        self._metrics.record_ended(route, failure.kind, now - started_at)
         return response
 
-    def _part(self, response):
-        """Close the connection after the answer once the stop has begun.
+    def _close_if_stopping(self, response):
+        """Close the connection after the response if the daemon is stopping.
 
-        A caller's next request on a kept connection could cross with the
-        end of the process.
+        The caller's next request on a persistent connection could arrive
+        while the process exits.
         """
         if self._stopping.is_set():
             response.force_close()
--- a/sycamoreshed/gateway/listeners.py
+++ b/sycamoreshed/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""The listening sockets of a forwarding daemon, and its stop."""
+"""The listening sockets of a forwarding daemon, and its graceful stop."""
 
 import asyncio
 
@@ -9,60 +9,60 @@
 
 __all__ = ["drain"]
 
-# Longer than any idle limit of a configuration: callers reuse connections
-# up to that limit, and one that is closed earlier can cross a request.
-IDLE_S = 120.0
+# Longer than the idle limit of any configuration: callers reuse connections
+# up to that limit, and a request can be lost on one that is closed earlier.
+KEEPALIVE_S = 120.0
 MAX_HEADER_BYTES = 32768
-# After SIGTERM the balancer asks once a second and goes by two misses, so
-# new connections still come for up to three seconds.
+# The load balancer checks readiness once a second and reacts to two failed
+# checks, so new connections arrive for up to three seconds after SIGTERM.
 ACCEPT_S = 3.2
-# What is left of the grace for writing the last answers.
-MARGIN_S = 0.6
+# Part of the grace period that is reserved for writing the last responses.
+WRITE_MARGIN_S = 0.6
 POLL_S = 0.02
 
 
 @kernel.plugin("listeners", needs=("handler", "inner", "sockets", "journal"))
 async def listeners(core):
-    """Provide the listening sockets."""
-    bound = core.part("sockets")
+    """Provide the servers on the listening sockets."""
+    sockets = core.part("sockets")
     runners = [
         await servers.listen(
-            core.control, bound["control"], shutdown_timeout=0
+            core.control, sockets["control"], shutdown_timeout=0
         ),
-        await _serve(core.part("handler"), bound["public"]),
-        await _serve(_readiness(core), bound["ready"]),
+        await _start_server(core.part("handler"), sockets["public"]),
+        await _start_server(_readiness(core), sockets["ready"]),
     ]
     yield runners
     for runner in runners:
         await runner.cleanup()
 
 
-async def _serve(handler, bound):
+async def _start_server(handler, bound_socket):
     server = web.Server(
         handler,
         handler_cancellation=True,
         access_log=None,
-        keepalive_timeout=IDLE_S,
+        keepalive_timeout=KEEPALIVE_S,
         auto_decompress=False,
         max_line_size=MAX_HEADER_BYTES,
         max_field_size=MAX_HEADER_BYTES,
     )
     runner = web.ServerRunner(server, shutdown_timeout=0)
     await runner.setup()
-    # Many connections come at once after many instances were lost.
-    await web.SockSite(runner, bound, backlog=1024).start()
+    # Many connections arrive at once after many instances have failed.
+    await web.SockSite(runner, bound_socket, backlog=1024).start()
     return runner
 
 
 def _readiness(core):
     catalog = core.part("catalog")
 
-    async def ready(_http):
+    async def check_readiness(_http):
         if catalog.is_ready and not core.stopping.is_set():
             return web.Response(text="ready\n")
         return web.Response(status=503, text="not ready\n")
 
-    return ready
+    return check_readiness
 
 
 async def drain(core):
@@ -70,24 +70,24 @@
 
     Notes
     -----
-    Requests are accepted until the balancer has noticed; each answer
-    closes its connection.  The process ends within the grace, whatever
-    is still in flight then would be cut off by SIGKILL anyway.
+    Requests are accepted until the load balancer has noticed the stop;
+    each response closes its connection.  The process exits within the
+    grace period: SIGKILL would cut off what is still in flight anyway.
     """
     await core.stopping.wait()
-    began = core.clock()
+    started_at = core.clock()
     handler = core.part("handler")
     journal = core.part("journal")
     journal.write("stop", in_flight=handler.in_flight)
     await asyncio.sleep(min(ACCEPT_S, core.settings.grace_s / 2))
-    await handler.drained()
-    handler.accepting = False
-    end = began + core.settings.grace_s - MARGIN_S
-    inner = core.part("inner")
-    while handler.in_flight + inner.in_flight and core.clock() < end:
+    await handler.wait_for_backlog()
+    handler.is_accepting = False
+    deadline = started_at + core.settings.grace_s - WRITE_MARGIN_S
+    control = core.part("inner")
+    while handler.in_flight + control.in_flight and core.clock() < deadline:
         await asyncio.sleep(POLL_S)
     journal.write(
         "stopped",
         in_flight=handler.in_flight,
-        took_s=round(core.clock() - began, 3),
+        took_s=round(core.clock() - started_at, 3),
     )
--- a/sycamoreshed/gateway/metrics.py
+++ b/sycamoreshed/gateway/metrics.py
@@ -1,7 +1,7 @@
 """Counters and histograms of a forwarding daemon.
 
-Labels are route names up to a bound and closed lists, so the number of
-series does not grow with teams or endpoints.
+Label values are a limited number of route names and fixed lists, so the
+number of series does not grow with teams or endpoints.
 """
 
 import prometheus_client
@@ -10,9 +10,9 @@
 
 __all__ = ["GatewayMetrics"]
 
-# Routes beyond these share a label: operators may configure thousands.
-ROUTE_LABELS = 50
-OTHER = "other"
+# Further routes share a label: operators may configure thousands.
+MAX_ROUTE_LABELS = 50
+OTHER_LABEL = "other"
 BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 1.8, 2.5, 4, 6, 10, 20)
 
 
@@ -34,14 +34,14 @@
             ["route", "outcome"],
             registry=registry,
         )
-        self._seconds = prometheus_client.Histogram(
+        self._request_seconds = prometheus_client.Histogram(
             "sycamoreshed_gateway_request_seconds",
             "Time from a request's arrival to the end of its answer.",
             ["route"],
             buckets=BUCKETS_S,
             registry=registry,
         )
-        self._first = prometheus_client.Histogram(
+        self._first_event_seconds = prometheus_client.Histogram(
             "sycamoreshed_gateway_first_event_seconds",
             "Time from a request's arrival to its first event.",
             ["route"],
@@ -60,38 +60,38 @@
             registry=registry,
         )
 
-    def answered(self, route, outcome, took_s):
+    def record_answered(self, route, outcome, duration_s):
         """Count a request that an endpoint answered."""
         label = self._label(route)
         self._requests.labels(label, "answered").inc()
-        self._seconds.labels(label).observe(took_s)
+        self._request_seconds.labels(label).observe(duration_s)
         if outcome.first_s is not None:
-            self._first.labels(label).observe(outcome.first_s)
+            self._first_event_seconds.labels(label).observe(outcome.first_s)
 
-    def ended(self, route, outcome, took_s):
-        """Count a request that ended otherwise."""
+    def record_ended(self, route, outcome, duration_s):
+        """Count a request that ended without an endpoint's full response."""
         label = self._label(route)
         self._requests.labels(label, outcome).inc()
-        self._seconds.labels(label).observe(took_s)
+        self._request_seconds.labels(label).observe(duration_s)
 
-    def watch_age(self, table, read):
-        """Show how old a table is, read when metrics are asked for."""
+    def export_age(self, table, read):
+        """Export the age of a table, which `read` returns at each scrape."""
         self._age.labels(table).set_function(read)
 
-    def watch_dropped(self, read):
-        """Show how many log lines were left out."""
+    def export_dropped(self, read):
+        """Export the number of dropped log lines, which `read` returns."""
         self._dropped.set_function(read)
 
     def render(self):
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
     def _label(self, route):
         if route is None:
-            return OTHER
+            return OTHER_LABEL
         if route.name not in self._routes:
-            if len(self._routes) >= ROUTE_LABELS:
-                return OTHER
+            if len(self._routes) >= MAX_ROUTE_LABELS:
+                return OTHER_LABEL
             self._routes.add(route.name)
         return route.name
 
--- a/sycamoreshed/gateway/settings.py
+++ b/sycamoreshed/gateway/settings.py
@@ -11,7 +11,7 @@
 
 
 class Document(typing.TypedDict):
-    """The settings file as it is written; see `Settings`."""
+    """Content of the settings file; see `Settings`."""
 
     instance: str
     region: str
@@ -46,28 +46,31 @@
     zones : dict of str to str
         Region of each zone.
     public, ready, control : str
-        ``IP:port`` for callers, for the balancer's readiness checks and
-        for other instances and operators.
+        ``IP:port`` for callers, for the load balancer's readiness checks
+        and for other instances and operators.
     table : str
         ``IP:port`` of the platform's table store.
     peers : tuple of str
-        Control addresses to ask first; may be stale.
+        Control addresses of other instances to contact first; may be
+        outdated.
     grace_s : float
-        Seconds from SIGTERM to SIGKILL.
+        Grace period: seconds from SIGTERM to SIGKILL.
     stable_ms : int
         After a disturbance, milliseconds until this instance counts as
         undisturbed.
     apply_ms : int
-        Milliseconds until an undisturbed instance has to know a new
-        configuration.
+        Milliseconds within which an undisturbed instance must receive a
+        new configuration.
     retry_ratio, retry_slack, retry_window_s : float
-        Requests that may be sent again in a window, by all instances
-        together: a ratio of the requests, and a fixed number.
+        Retries that all instances together may send in a window: a ratio
+        of the requests, and a fixed number.
     core_share, core_speed : float
-        Share of a core that this instance may use, and how many times as
-        fast as others' that core is.
+        Share of a core that this instance may use, and the speed of that
+        core as a multiple of that of other instances' cores.
     max_body_bytes, max_control_bytes : int
-        Largest body of a caller's, of another instance's request.
+        Maximum body sizes of the kernel's public and control
+        applications.  For callers' requests to this daemon, the limit in
+        the operator's configuration applies instead.
     """
 
     instance: str
@@ -102,7 +105,7 @@
     Raises
     ------
     CheckError
-        Naming the place and what was expected.
+        Names the invalid part and what was expected.
     """
     document = checking.decode(raw, Document, source=source)
     settings = Settings(**document)
--- a/sycamoreshed/gateway/tests/test_error_responses.py
+++ b/sycamoreshed/gateway/tests/test_error_responses.py
@@ -1,21 +1,21 @@
-"""What callers are told when no endpoint's answer is passed on."""
+"""Error responses, for requests without an endpoint's response."""
 
 import pytest
 
 from sycamoreshed.errors import kinds
 from sycamoreshed.gateway import error_responses
 
-PROMISES = {408, 421, 429, 503}
+NOT_RUN_STATUSES = {408, 421, 429, 503}
 
 
 @pytest.mark.parametrize("kind", list(kinds.Kind))
-def test_a_promise_is_told_only_if_nothing_was_sent(kind):
-    """A ballot that may have been recorded is not told as "not run".
+def test_not_run_status_requires_that_nothing_was_sent(kind):
+    """A ballot that may have been recorded is not reported as "not run".
 
-    Told so by the status, the member's client would vote again.
+    With such a status the member's client would vote again.
     """
     failure = kinds.Failure(kind, "why", sent=True)
-    assert error_responses.status_of(failure) not in PROMISES
+    assert error_responses.status_of(failure) not in NOT_RUN_STATUSES
 
 
 @pytest.mark.parametrize(
@@ -38,12 +38,12 @@
         (kinds.Kind.BAD_REQUEST, False, 400),
     ],
 )
-def test_statuses(kind, sent, status):
+def test_status_of_failure(kind, sent, status):
     failure = kinds.Failure(kind, "why", sent=sent)
     assert error_responses.status_of(failure) == status
 
 
-def test_callers_hear_when_to_come_back():
+def test_retry_after_is_sent_only_if_request_has_not_run():
     failure = kinds.Failure(kinds.Kind.HOPELESS, "busy")
     response = error_responses.error_response(failure, "r-1", 0.25)
     assert response.headers["Retry-After"] == "0.25"
