--- a/sycamoreshed/platform/__init__.py
+++ b/sycamoreshed/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, and no decisions."""
+"""Wire names, formats and calls of the users' platform; no decisions."""
--- a/sycamoreshed/platform/calls.py
+++ b/sycamoreshed/platform/calls.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers, and calls of endpoints, on the wire."""
+"""Wire format of request and response headers and of endpoint calls."""
 
 import enum
 import typing
@@ -23,34 +23,34 @@
 ]
 
 _JSON = {"Content-Type": "application/json"}
-# Statuses that promise "not run" to callers, by the platform's protocol.
-_PROMISES = frozenset((408, 421, 429, 503))
-_MISDIRECTED = 421
-_FAILED = 500
+# Statuses that guarantee "not run" to callers, by the platform's protocol.
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+_MISDIRECTED_STATUS = 421
+_MIN_FAILED_STATUS = 500
 
 
 class Head(typing.NamedTuple):
-    """What the head of a caller's request says.
+    """Content of the headers of a caller's request.
 
     Parameters
     ----------
     request_id : str
-        Empty if the caller named none.
+        Empty if the caller sent none.
     deadline_s : float or None
-        Seconds the caller will wait.
+        Seconds that the caller will wait.
     key : str or None
-        Names the team.
+        API key that identifies the team.
     prefix : tuple of (str, int)
-        Parts of the prompt in order, with their tokens; requests share
-        the first ones.
+        Parts of the prompt in order, each with its number of tokens;
+        requests may have the first parts in common.
     prompt_tokens, max_output_tokens : int
-        Of the prompt, and the most that are generated.
+        Tokens of the prompt, and the maximum number to generate.
     pieces : tuple of int
-        Pieces that each stage of the route has; 0 leaves a stage out.
+        Number of pieces of each stage of the route; 0 skips the stage.
     piece_key : str or None
-        What the pieces of first stages are made from.
+        Identifies the source data of the pieces of first stages.
     last_event_id : str or None
-        A broken stream is to go on after it.
+        Id of the last event received of a broken stream to resume.
     """
 
     request_id: str
@@ -65,50 +65,51 @@
 
 
 class Verdict(enum.Enum):
-    """What an endpoint's answer says of the request."""
+    """What an endpoint's response says about its run of the request."""
 
     DONE = "done"
     NOT_RUN = "not-run"
-    # Another endpoint has the address; the one meant is gone.
+    # Another endpoint has the address; the intended one is gone.
     MISDIRECTED = "elsewhere"
     FAILED = "failed"
-    # A status that promises "not run" without the endpoint's word for
-    # it: passed on it would tell the caller what may not be true.
+    # A status that guarantees "not run" to callers, without the endpoint's
+    # header that confirms it: forwarded, it could mislead the caller.
     UNCONFIRMED = "unsure"
 
 
 def parse_head(headers):
-    """Return the `Head` of a request's headers.
+    """Parse the headers of a request into a `Head`.
 
-    What cannot be read counts as left out: the endpoint judges it too.
+    A value that cannot be parsed counts as missing: the endpoint checks it
+    too.
     """
     authorization = headers.get(names.AUTHORIZATION, "")
     key = None
     if authorization.startswith(names.KEY_SCHEME):
         key = authorization[len(names.KEY_SCHEME) :].strip()
-    tokens = _numbers(headers.get(names.TOKENS, ""))
-    deadline = _numbers(headers.get(names.DEADLINE_MS, ""))
+    tokens = _parse_numbers(headers.get(names.TOKENS, ""))
+    deadline = _parse_numbers(headers.get(names.DEADLINE_MS, ""))
     return Head(
         request_id=headers.get(names.REQUEST_ID, ""),
         deadline_s=deadline[0] / 1000 if deadline else None,
         key=key,
-        prefix=_prefix(headers.get(names.PREFIX, "")),
+        prefix=_parse_prefix(headers.get(names.PREFIX, "")),
         prompt_tokens=tokens[0] if tokens else 0,
         max_output_tokens=tokens[1] if len(tokens) > 1 else 0,
-        pieces=_numbers(headers.get(names.PIECES, "")),
+        pieces=_parse_numbers(headers.get(names.PIECES, "")),
         piece_key=headers.get(names.PIECE_KEY),
         last_event_id=headers.get(names.LAST_EVENT_ID),
     )
 
 
-def _numbers(text):
+def _parse_numbers(text):
     try:
         return tuple(int(part) for part in text.split(",") if part.strip())
     except ValueError:
         return ()
 
 
-def _prefix(text):
+def _parse_prefix(text):
     parts = []
     for part in text.split(","):
         name, _, tokens = part.strip().partition(":")
@@ -127,7 +128,7 @@
     inputs=None,
     last_event_id=None,
 ):
-    """Return the headers of a request as an endpoint is to get them.
+    """Return the headers to forward to an endpoint with a request.
 
     Parameters
     ----------
@@ -138,26 +139,26 @@
     endpoint : str
         Id of the endpoint; any other one does not run the request.
     remaining_s : float
-        Seconds after which the endpoint is to stop work.
+        Seconds after which the endpoint is to stop working.
     priority : int, optional
         0 is the most urgent.
     inputs : list of str, optional
         Handles of results of stages.
     last_event_id : str, optional
-        In place of the caller's own.
+        Replaces the one that the caller sent.
     """
-    listed = {
+    connection_headers = {
         name.strip().lower()
         for value in headers.getall("Connection", ())
         for name in value.split(",")
     }
     result = multidict.CIMultiDict()
     for name, value in headers.items():
-        lower = name.lower()
+        lower_name = name.lower()
         if (
-            lower not in names.HOP_BY_HOP
-            and lower not in names.SET_BY_SYSTEM
-            and lower not in listed
+            lower_name not in names.HOP_BY_HOP_HEADERS
+            and lower_name not in names.RESERVED_HEADERS
+            and lower_name not in connection_headers
         ):
             result.add(name, value)
     result[names.DEADLINE_MS] = str(max(1, int(remaining_s * 1000)))
@@ -174,65 +175,66 @@
 
 
 def response_headers(headers, *, signed=True):
-    """Return the headers of an endpoint's answer as a caller gets them.
+    """Return the headers of an endpoint's response to forward to a caller.
 
     Parameters
     ----------
     headers : CIMultiDict
     signed : bool
-        Whether the answer is passed on unchanged, with its proof.
+        Whether the response is forwarded unchanged, with its proof.
     """
     result = multidict.CIMultiDict()
     for name, value in headers.items():
-        lower = name.lower()
-        if lower in names.HOP_BY_HOP:
+        lower_name = name.lower()
+        if lower_name in names.HOP_BY_HOP_HEADERS:
             continue
-        if not signed and lower == names.SIGNATURE.lower():
+        if not signed and lower_name == names.SIGNATURE.lower():
             continue
         result.add(name, value)
     return result
 
 
 def matches_request(headers, request_id):
-    """Return whether an answer names a request, or names none."""
+    """Return whether a response names this request, or none at all."""
     named = headers.get(names.REQUEST_ID)
     return named is None or named == request_id
 
 
 def classify_response(status, headers):
-    """Return the `Verdict` of an endpoint's answer."""
-    if status == _MISDIRECTED:
+    """Return the `Verdict` of an endpoint's response."""
+    if status == _MISDIRECTED_STATUS:
         return Verdict.MISDIRECTED
     if names.NOT_RUN in headers:
         return Verdict.NOT_RUN
-    if status in _PROMISES:
+    if status in _NOT_RUN_STATUSES:
         return Verdict.UNCONFIRMED
-    if status >= _FAILED:
+    if status >= _MIN_FAILED_STATUS:
         return Verdict.FAILED
     return Verdict.DONE
 
 
 class PieceResult(typing.NamedTuple):
-    """Result of one piece: where it lies, or why there is none."""
+    """Result of one piece: its handle, or the reason why there is none."""
 
     handle: str | None
     reason: str | None
 
 
-class _WireResult(msgspec.Struct):
+class _WirePieceResult(msgspec.Struct):
     handle: str | None = None
     reason: str | None = None
 
 
-class _WireResults(msgspec.Struct):
-    items: list[_WireResult]
+class _WirePieceResults(msgspec.Struct):
+    # The wire calls pieces of stages "items".
+    items: list[_WirePieceResult]
 
 
-_results = msgspec.json.Decoder(_WireResults)
+_results_decoder = msgspec.json.Decoder(_WirePieceResults)
 
 
 def piece_call(pieces, *, endpoint, now):
-    """Return path, headers and body of a call with pieces of stages.
+    """Return path, headers and body of a call that runs pieces of stages.
 
     Parameters
     ----------
@@ -244,6 +246,7 @@
     """
     items = []
     for each in pieces:
+        # On the wire "phase" is the stage and "segment" the piece's index.
         item = {
             "id": each.request,
             "phase": each.stage,
@@ -260,15 +263,15 @@
 
 
 def decode_piece_results(raw):
-    """Return a list of `PieceResult`, in the order asked for.
+    """Return a list of `PieceResult`, in the order of the call.
 
     Raises
     ------
     msgspec.MsgspecError
-        If the body is no answer of that kind.
+        If the body is not a valid response to a call of pieces.
     """
-    found = _results.decode(raw).items
-    return [PieceResult(each.handle, each.reason) for each in found]
+    results = _results_decoder.decode(raw).items
+    return [PieceResult(each.handle, each.reason) for each in results]
 
 
 def free_call(handles, *, endpoint):
--- a/sycamoreshed/platform/names.py
+++ b/sycamoreshed/platform/names.py
@@ -1,34 +1,37 @@
-"""Names on the platform's wire.
+"""Names in the platform's wire formats.
 
-Nothing outside this folder spells them; `tools/wirenames.py` checks that.
+No other folder may contain them; `tools/wirenames.py` checks that.
 """
 
 __all__ = [
-    "HOP_BY_HOP",
-    "SET_BY_SYSTEM",
+    "HOP_BY_HOP_HEADERS",
+    "RESERVED_HEADERS",
 ]
 
 REQUEST_ID = "X-Sycamoreshed-Request-Id"
 DEADLINE_MS = "X-Sycamoreshed-Deadline-Ms"
 PREFIX = "X-Sycamoreshed-Prefix-Hash"
 LAST_EVENT_ID = "Last-Event-Id"
+# The wire calls a team a tenant, and an endpoint an instance.
 TEAM = "X-Sycamoreshed-Tenant"
 EXPECT_ENDPOINT = "X-Sycamoreshed-Expect-Instance"
 LOAD = "X-Sycamoreshed-Instance-Load"
 NOT_RUN = "X-Sycamoreshed-Not-Executed"
+# Tokens of the prompt, and the maximum number to generate.
 TOKENS = "X-Sycamoreshed-Token-Usage"
 PRIORITY = "X-Sycamoreshed-Priority-Class"
 PIECES = "X-Sycamoreshed-Pieces"
 PIECE_KEY = "X-Sycamoreshed-Piece-Key"
 INPUTS = "X-Sycamoreshed-Inputs"
-# Proof that an answer is an endpoint's own; callers check it.
+# Proof that a response is an endpoint's own; callers verify it.
 SIGNATURE = "X-Sycamoreshed-Response-Seal"
 AUTHORIZATION = "Authorization"
 KEY_SCHEME = "Token "
 
-# What a caller sends under these names would make an engine act on memory
-# or reservations that are not the caller's, or pass for another team.
-SET_BY_SYSTEM = frozenset(
+# Removed from callers' requests: with these headers a caller could make an
+# engine use memory or reservations that are not the caller's, or impersonate
+# another team.
+RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         TEAM,
@@ -45,8 +48,8 @@
         "Kv-Fetch",
     )
 )
-# These concern one connection only (RFC 9110, 7.6.1).
-HOP_BY_HOP = frozenset(
+# Apply to a single connection only (RFC 9110, 7.6.1).
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -68,8 +71,8 @@
 ROWS_FEED = "/v1/rows-feed"
 ROWS_TX = "/v1/rows-tx"
 
-# The operator's table and row, and the table endpoints announce
-# themselves in; the platform writes both.
+# The operator's table with the row of the configuration, and the table in
+# which endpoints register; the platform writes both tables.
 OPERATOR_TABLE = "op"
 CONFIGURATION_KEY = "config"
 ENDPOINT_TABLE = "servers"
--- a/sycamoreshed/platform/platform.py
+++ b/sycamoreshed/platform/platform.py
@@ -1,4 +1,4 @@
-"""The platform as one part: its store, its records, its headers."""
+"""The platform as one plug-in: its store, record formats and headers."""
 
 from sycamoreshed.kernel import kernel
 from sycamoreshed.platform import calls
@@ -10,7 +10,7 @@
 
 
 class Platform:
-    """What the gateway asks of the platform it runs on.
+    """Interface to the platform that the gateway runs on.
 
     Parameters
     ----------
@@ -18,7 +18,7 @@
     """
 
     configuration_key = names.CONFIGURATION_KEY
-    # Names of the store's tables by what this project calls their copies.
+    # Maps this project's names of table copies to the store's table names.
     tables = {
         "settings": names.OPERATOR_TABLE,
         "endpoints": names.ENDPOINT_TABLE,
@@ -41,7 +41,7 @@
 
 @kernel.plugin("platform", needs=("web",))
 async def platform(core):
-    """Provide the platform named in the settings."""
+    """Provide the platform whose table store the settings name."""
     yield Platform(
         store=store.TableStore(
             session=core.part("web"), address=core.settings.table
--- a/sycamoreshed/platform/records.py
+++ b/sycamoreshed/platform/records.py
@@ -1,7 +1,7 @@
-"""Decodes what operators and endpoints write into the product's types.
+"""Decodes what operators and endpoints write into this project's types.
 
-The structures here follow the wire, whose field names are the
-platform's; nothing outside this module sees them.
+The structs have the field names of the platform's wire format; nothing
+outside this module uses them.
 """
 
 import msgspec
@@ -10,7 +10,7 @@
 
 __all__ = ["decode_configuration", "decode_endpoint"]
 
-MB = 1e6
+BYTES_PER_MB = 1e6
 
 
 class _Split(msgspec.Struct):
@@ -20,7 +20,9 @@
 
 class _Stage(msgspec.Struct):
     service: str
+    # Indices of the stages whose results are its inputs.
     after: list[int] = []
+    # Approximate size of one result.
     size_bytes: float = 0.0
 
 
@@ -28,7 +30,8 @@
     name: str
     host: str
     prefix: str
-    # What may be repeated: "safe", "unsafe" or "streaming".
+    # What may run again: "safe", "unsafe" or "streaming".  Requests are
+    # idempotent only if "safe".
     route_kind: str
     timeout_ms: float
     target_latency_ms: float = 1000.0
@@ -40,23 +43,30 @@
     anonymous: bool = False
     sticky: bool = False
     resumable: bool = False
+    # Maximum gap between events of a stream.
     itl_target_ms: float = 1000.0
 
 
 class _Engine(msgspec.Struct):
     slots: int = 1
+    # Memory of the engine, in tokens.
     kv_capacity: int = 0
 
 
 class _Segments(msgspec.Struct):
     # The wire calls pieces of a stage "segments"; here they describe how
     # one endpoint works on them.
+    # Calls worked on at a time, and calls that may wait.
     slots: int = 1
     queue: int = 0
+    # Maximum number of pieces in a call.
     batch: int = 1
+    # Time of a call, and what each piece adds to it.
     call_ms: float = 0.0
     item_ms: float = 0.0
+    # Memory for results.
     headroom_mb: float = 0.0
+    # How long a result is stored after the end of its call.
     handle_s: float = 1.0
 
 
@@ -75,6 +85,7 @@
 
 
 class _Tenant(msgspec.Struct):
+    # The wire calls a team a tenant.
     name: str
     api_keys: list[str] = []
     priority: int | None = None
@@ -88,31 +99,31 @@
     tenants: list[_Tenant] | None = None
 
 
-class _Beat(msgspec.Struct):
+class _EndpointEntry(msgspec.Struct):
     service: str
     address: str
     zone: str
     state: str
     slots: int = 1
-    # At the top level of all an endpoint says of itself: start of its
-    # process, not of the entry.
+    # At the top level of everything an endpoint writes about itself: start
+    # of its process, not creation of the entry.
     born: int = 0
 
 
-_configuration = msgspec.json.Decoder(_Configuration)
-_beat = msgspec.json.Decoder(_Beat)
-_STATES = {"ready": False, "draining": True}
+_configuration_decoder = msgspec.json.Decoder(_Configuration)
+_entry_decoder = msgspec.json.Decoder(_EndpointEntry)
+_IS_DRAINING = {"ready": False, "draining": True}
 
 
 def decode_configuration(raw):
-    """Return the `Configuration` in the bytes an operator wrote.
+    """Decode the bytes that an operator wrote into a `Configuration`.
 
     Raises
     ------
     msgspec.MsgspecError
-        If the bytes are none; the one in force then stays.
+        If the bytes are not one; the current one then stays in force.
     """
-    wire = _configuration.decode(raw)
+    wire = _configuration_decoder.decode(raw)
     teams = {}
     for tenant in wire.tenants or ():
         team = types.Team(tenant.name, tenant.priority)
@@ -120,8 +131,8 @@
             teams[key] = team
     return types.Configuration(
         version=wire.version,
-        routes=tuple(_route(each) for each in wire.routes),
-        services={each.name: _service(each) for each in wire.services},
+        routes=tuple(_to_route(each) for each in wire.routes),
+        services={each.name: _to_service(each) for each in wire.services},
         teams=teams,
         requires_key=wire.tenants is not None,
         limits=types.Limits(
@@ -132,7 +143,7 @@
     )
 
 
-def _route(wire):
+def _to_route(wire):
     services = [(each.service, each.weight) for each in wire.split]
     if not services and wire.service is not None:
         services = [(wire.service, 1.0)]
@@ -159,7 +170,7 @@
     )
 
 
-def _service(wire):
+def _to_service(wire):
     engine = pieces = None
     if wire.engine is not None:
         engine = types.EngineSpec(wire.engine.slots, wire.engine.kv_capacity)
@@ -171,7 +182,7 @@
             batch=max(1, spec.batch),
             call_s=spec.call_ms / 1000,
             piece_s=spec.item_ms / 1000,
-            memory_bytes=spec.headroom_mb * MB,
+            memory_bytes=spec.headroom_mb * BYTES_PER_MB,
             result_ttl_s=spec.handle_s,
         )
     return types.Service(
@@ -184,16 +195,16 @@
 
 
 def decode_endpoint(key, raw):
-    """Return the `Endpoint` that an entry names.
+    """Decode an entry of the table of endpoints into an `Endpoint`.
 
     Raises
     ------
     msgspec.MsgspecError
-        If it names none that can be used: other writers leave entries
-        with missing fields, other types or other states.
+        If it names no usable endpoint: other writers leave entries with
+        missing fields, other types or other states.
     """
-    wire = _beat.decode(raw)
-    if wire.state not in _STATES:
+    wire = _entry_decoder.decode(raw)
+    if wire.state not in _IS_DRAINING:
         raise msgspec.ValidationError(f"unknown state {wire.state!r}")
     host, _, port = wire.address.rpartition(":")
     if not host or not port.isdecimal():
@@ -204,6 +215,6 @@
         address=wire.address,
         zone=wire.zone,
         slots=max(1, wire.slots),
-        is_draining=_STATES[wire.state],
+        is_draining=_IS_DRAINING[wire.state],
         started_at_ms=wire.born,
     )
--- a/sycamoreshed/platform/store.py
+++ b/sycamoreshed/platform/store.py
@@ -1,8 +1,7 @@
 """Client of the platform's table store.
 
-Rows of a table with an empty part are all this project keeps there.
-Calls return values or a `Failure`; what to do about one is decided by the
-caller.
+This project uses only rows whose part is empty.  Calls return values or a
+`Failure`, which the caller has to handle.
 """
 
 import base64
@@ -20,7 +19,7 @@
 
 
 class Row(typing.NamedTuple):
-    """A row, or that there is none any more (`value` is None)."""
+    """A row of a table; `value` is None if the row was removed."""
 
     key: str
     value: bytes | None
@@ -28,9 +27,9 @@
 
 
 class Changes(typing.NamedTuple):
-    """Rows of a table and the store's version they are as of.
+    """Rows of a table, and the version of the store that they reflect.
 
-    ``is_full`` tells a full listing from what changed since a version.
+    ``is_full`` tells a full listing from the changes since a version.
     """
 
     rows: list
@@ -39,7 +38,7 @@
 
 
 class TableStore:
-    """Calls of the table store.
+    """Client of the table store.
 
     Parameters
     ----------
@@ -57,9 +56,10 @@
 
         Notes
         -----
-        Each page is as of another version.  They are told as of the
-        first one's: what changed on a page that had been read comes with
-        the changes after it, and what comes twice does no harm.
+        Each page reflects another version.  The result has the version of
+        the first page: changes of a page that had been read then arrive
+        with the changes after that version, and a row that arrives twice
+        does no harm.
         """
         rows = []
         start = version = None
@@ -70,12 +70,12 @@
             reply = await self._get(names.ROWS_GET, query, timeout)
             if isinstance(reply, kinds.Failure):
                 return reply
-            rows += _rows(reply)
+            rows += _decode_rows(reply)
             if version is None:
                 version = reply["ver"]
             if not reply.get("has_more"):
                 return Changes(rows, version, is_full=True)
-            # The next key after the last one in byte order.
+            # The smallest key after the last one in byte order.
             start = rows[-1].key + "\0"
 
     async def wait_for_changes(self, table, after, *, wait_s, slack_s):
@@ -86,14 +86,14 @@
         table : str
         after : int
         wait_s : float
-            Seconds the store may hold the call.
+            Seconds that the store may hold the call if nothing has changed.
         slack_s : float
-            Seconds on top of that before the call counts as lost.
+            Additional seconds after which the call counts as lost.
 
         Returns
         -------
         Changes, None or Failure
-            None if the store has dropped that part of its history.
+            None if the store has dropped the changes after that version.
         """
         query = {
             "table": table,
@@ -103,10 +103,10 @@
         reply = await self._get(names.ROWS_FEED, query, wait_s + slack_s)
         if reply is None or isinstance(reply, kinds.Failure):
             return reply
-        return Changes(_rows(reply), reply["ver"], is_full=False)
+        return Changes(_decode_rows(reply), reply["ver"], is_full=False)
 
     async def put(self, table, key, value, *, timeout):
-        """Write a row whatever it held; return None or a `Failure`."""
+        """Write a row unconditionally; return None or a `Failure`."""
         entry = {
             "table": table,
             "part": "",
@@ -116,7 +116,7 @@
         return await self._transact([], [entry], [], timeout)
 
     async def remove(self, table, key, *, timeout):
-        """Remove a row whatever it holds; return None or a `Failure`."""
+        """Remove a row unconditionally; return None or a `Failure`."""
         entry = {"table": table, "part": "", "key": key}
         return await self._transact([], [], [entry], timeout)
 
@@ -134,7 +134,7 @@
             return reply
         if reply.status == _OK:
             return None
-        return _refused(reply.status)
+        return _unexpected_status(reply.status)
 
     async def _get(self, path, query, timeout):
         target = f"{path}?{urllib.parse.urlencode(query)}"
@@ -146,32 +146,32 @@
         if reply.status == _HISTORY_GONE:
             return None
         if reply.status != _OK or not isinstance(reply.body, dict):
-            return _refused(reply.status)
+            return _unexpected_status(reply.status)
         return reply.body
 
 
-def _refused(status):
+def _unexpected_status(status):
     return kinds.Failure(
         kinds.Kind.STORE_AWAY, f"table store answered {status}"
     )
 
 
-def _rows(reply):
-    """Decode rows; the feed marks removed ones instead of a value."""
+def _decode_rows(reply):
+    """Decode rows; the change feed marks removed ones by a tombstone."""
     rows = []
     for wire in reply["rows"]:
         if wire.get("part"):
             continue
         value = None
         if not wire.get("tombstone"):
-            value = _value(wire.get("value"))
+            value = _decode_value(wire.get("value"))
         rows.append(Row(wire["key"], value, wire["ver"]))
     return rows
 
 
-def _value(text):
-    # Any writer of the platform may leave bytes that are no base64; they
-    # name nothing to use, and must not keep the other rows from us.
+def _decode_value(text):
+    # Any writer of the platform may store a value that is not base64.  It
+    # names nothing usable, and must not prevent reading the other rows.
     try:
         return base64.b64decode(text or "")
     except (ValueError, TypeError):
--- a/sycamoreshed/platform/tests/test_calls.py
+++ b/sycamoreshed/platform/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers on the wire."""
+"""Wire format of request and response headers and of endpoint calls."""
 
 import multidict
 import pytest
@@ -9,7 +9,7 @@
 
 
 def forwarded(**headers):
-    """Return what an endpoint gets of a caller's headers."""
+    """Return the headers that an endpoint gets for a caller's."""
     sent = multidict.CIMultiDict(wiredata.head())
     sent.extend({k.replace("_", "-"): v for k, v in headers.items()})
     return calls.forwarded_headers(
@@ -33,30 +33,30 @@
         "Keep-Alive",
     ],
 )
-def test_what_only_the_system_may_set_is_dropped(name):
-    """A caller names memory or a reservation of somebody else's request.
+def test_reserved_and_hop_by_hop_headers_are_removed(name):
+    """A caller names memory or a reservation of another caller's request.
 
-    Passed on, an engine would answer from that.
+    If the header were forwarded, an engine would answer from those.
     """
     assert name not in forwarded(**{name: "x"})
 
 
-def test_headers_that_the_connection_names_are_dropped():
-    found = forwarded(Connection="close, X-Mine", X_Mine="1", X_Other="2")
-    assert "X-Mine" not in found
-    assert found["X-Other"] == "2"
+def test_headers_named_by_connection_header_are_removed():
+    headers = forwarded(Connection="close, X-Mine", X_Mine="1", X_Other="2")
+    assert "X-Mine" not in headers
+    assert headers["X-Other"] == "2"
 
 
-def test_what_the_system_sets():
-    found = forwarded(**{"X-Sycamoreshed-Tenant": "team-b"})
-    assert found.getall("X-Sycamoreshed-Tenant") == ["team-a"]
-    assert found["X-Sycamoreshed-Deadline-Ms"] == "1500"
-    assert found["X-Sycamoreshed-Expect-Instance"] == "i-1"
-    assert found["X-Sycamoreshed-Priority-Class"] == "2"
+def test_headers_set_for_the_endpoint():
+    headers = forwarded(**{"X-Sycamoreshed-Tenant": "team-b"})
+    assert headers.getall("X-Sycamoreshed-Tenant") == ["team-a"]
+    assert headers["X-Sycamoreshed-Deadline-Ms"] == "1500"
+    assert headers["X-Sycamoreshed-Expect-Instance"] == "i-1"
+    assert headers["X-Sycamoreshed-Priority-Class"] == "2"
 
 
 @pytest.mark.parametrize(
-    ("status", "says_not_run", "verdict"),
+    ("status", "confirms_not_run", "verdict"),
     [
         (200, False, calls.Verdict.DONE),
         (404, False, calls.Verdict.DONE),
@@ -70,13 +70,13 @@
         (504, False, calls.Verdict.FAILED),
     ],
 )
-def test_what_an_answer_says_of_the_request(status, says_not_run, verdict):
-    headers = {"X-Sycamoreshed-Not-Executed": "1"} if says_not_run else {}
+def test_classification_of_responses(status, confirms_not_run, verdict):
+    headers = {"X-Sycamoreshed-Not-Executed": "1"} if confirms_not_run else {}
     assert calls.classify_response(status, headers) is verdict
 
 
 @pytest.mark.parametrize("text", ["", "x", "1,x", ":3", "a:b,c"])
-def test_heads_that_cannot_be_read_count_as_left_out(text):
+def test_invalid_header_values_count_as_missing(text):
     head = calls.parse_head(
         {
             "X-Sycamoreshed-Deadline-Ms": "x" + text,
@@ -91,8 +91,8 @@
 def test_a_piece_has_a_key_or_inputs():
     """A piece of a first stage has a key, of a later one inputs.
 
-    Given a key instead of its inputs, it would be made from nothing of
-    its request.
+    With a key instead of its inputs, a piece of a later stage would not be
+    made from the results of its request.
     """
     first = pieces.Piece("r", 0, 1, deadline=2.0, key="k")
     later = pieces.Piece("r", 1, 0, deadline=2.0, inputs=("h",))
--- a/sycamoreshed/platform/tests/test_records.py
+++ b/sycamoreshed/platform/tests/test_records.py
@@ -1,4 +1,4 @@
-"""What operators and endpoints write, in the product's types."""
+"""Decoding of what operators and endpoints write."""
 
 import msgspec
 import pytest
@@ -8,14 +8,14 @@
 
 
 def decoded(**changes):
-    """Return a configuration as the product has it."""
+    """Return a decoded configuration."""
     document = wiredata.configuration(**changes)
     return records.decode_configuration(msgspec.json.encode(document))
 
 
 def test_routes_services_and_teams():
     engine = {"slots": 64, "kv_capacity": 450000, "other": 1}
-    found = decoded(
+    configuration = decoded(
         version=7,
         routes=[
             wiredata.route(
@@ -34,27 +34,27 @@
             wiredata.piece_service("p"),
         ],
     )
-    (route,) = found.routes
+    (route,) = configuration.routes
     assert route.streaming and route.resumable and not route.idempotent
     assert route.services == (("a", 90.0), ("b", 10.0))
     assert route.stages[0].result_bytes == 8000
     assert route.timeout_s == 3.0
-    assert found.services["a"].engine.memory_tokens == 450000
-    assert found.services["p"].pieces.call_s == 0.05
-    assert found.teams[wiredata.KEY].name == "team-a"
+    assert configuration.services["a"].engine.memory_tokens == 450000
+    assert configuration.services["p"].pieces.call_s == 0.05
+    assert configuration.teams[wiredata.KEY].name == "team-a"
 
 
 @pytest.mark.parametrize(
     ("kind", "idempotent"),
     [("safe", True), ("unsafe", False), ("streaming", False)],
 )
-def test_what_may_run_again_follows_from_the_kind(kind, idempotent):
-    """Taken from a name or a method, a ballot would be sent again."""
-    found = decoded(routes=[wiredata.route(route_kind=kind)])
-    assert found.routes[0].idempotent is idempotent
+def test_only_routes_of_kind_safe_are_idempotent(kind, idempotent):
+    """If a name or a method decided, a ballot would be sent again."""
+    configuration = decoded(routes=[wiredata.route(route_kind=kind)])
+    assert configuration.routes[0].idempotent is idempotent
 
 
-def test_without_teams_no_key_is_needed():
+def test_key_is_required_unless_tenants_are_missing():
     document = wiredata.configuration()
     del document["tenants"]
     raw = msgspec.json.encode(document)
@@ -74,14 +74,14 @@
         msgspec.json.encode(wiredata.beat("10.0.0.1")),
     ],
 )
-def test_entries_of_other_writers_name_no_endpoint(raw):
+def test_invalid_endpoint_entries_are_rejected(raw):
     with pytest.raises(msgspec.MsgspecError):
         records.decode_endpoint("i-1", raw)
 
 
-def test_an_endpoint_that_leaves():
+def test_draining_endpoint():
     raw = msgspec.json.encode(
         wiredata.beat("10.0.0.1:80", state="draining", more=[1])
     )
-    found = records.decode_endpoint("i-1", raw)
-    assert found.is_draining and found.id == "i-1"
+    endpoint = records.decode_endpoint("i-1", raw)
+    assert endpoint.is_draining and endpoint.id == "i-1"
--- a/sycamoreshed/platform/tests/test_store.py
+++ b/sycamoreshed/platform/tests/test_store.py
@@ -12,7 +12,7 @@
 
 
 class ChangingStore(platformstore.PlatformStore):
-    """Changes a row of the first page once that page was read."""
+    """Changes a row of the first page after that page was read."""
 
     def _told(self, **more):
         answer = super()._told(**more)
@@ -22,11 +22,11 @@
 
 
 async def test_a_change_between_two_pages_is_not_lost():
-    """An endpoint on the first page leaves while the second one is read.
+    """An endpoint on the first page starts draining during the second read.
 
-    Six hundred engines take two pages.  Taken as of the last page's
-    version, the table has the old row for good: the instance goes on
-    sending to an endpoint that is leaving, until its entry is removed.
+    Six hundred engines take two pages.  If the result had the version of
+    the last page, the old row would stay: the instance would go on sending
+    to the draining endpoint until its entry is removed.
     """
     store = ChangingStore()
     await store.start()
@@ -34,13 +34,13 @@
         store.put(TABLE, f"i-{number:03d}", "ready")
     async with aiohttp.ClientSession() as session:
         client = stores.TableStore(session=session, address=store.address)
-        whole = await client.read(TABLE, timeout=5.0)
-        later = await client.wait_for_changes(
-            TABLE, whole.version, wait_s=0.0, slack_s=5.0
+        full = await client.read(TABLE, timeout=5.0)
+        changes = await client.wait_for_changes(
+            TABLE, full.version, wait_s=0.0, slack_s=5.0
         )
     await store.stop()
     pages = [path for path, _ in store.calls if path == names.ROWS_GET]
     assert len(pages) == 2
-    assert len({row.key for row in whole.rows}) == PAGE + 100
-    (row,) = later.rows
+    assert len({row.key for row in full.rows}) == PAGE + 100
+    (row,) = changes.rows
     assert (row.key, msgspec.json.decode(row.value)) == ("i-000", "draining")
