--- a/sycamoreshed/gateway/handler.py
+++ b/sycamoreshed/gateway/handler.py
@@ -134,7 +134,7 @@
 
     async def wait_for_backlog(self):
         """Wait until the requests that have arrived are read."""
-        await backlog.drained(lambda: self._received, self._clock)
+        await backlog.wait_until_read(lambda: self._received, self._clock)
 
     async def _admit(self, http, head, started_at):
         """Return the `Request`, or the `Failure` that rejects it."""
