--- a/sycamoreshed/gateway/daemon.py
+++ b/sycamoreshed/gateway/daemon.py
@@ -41,8 +41,8 @@
 
 # Between checks of the settings file, which may change without a signal.
 SETTINGS_POLL_S = 5.0
-# Settings that are applied when the file changes.  Addresses, names and the
-# limits that others derive from need a restart, which is logged.
+# Settings that `_reload` applies.  Addresses, names and the limits from which
+# others are derived need a restart, which is logged.
 RELOADABLE = frozenset({"peers", "retry_ratio", "retry_slack"})
 
 
@@ -67,11 +67,12 @@
         signal.SIGHUP, functools.partial(_reload, core, path)
     )
     await core.run(
-        until=functools.partial(_run, path=path), wanted=("listeners",)
+        until=functools.partial(_run_until_drained, path=path),
+        wanted=("listeners",),
     )
 
 
-async def _run(core, *, path):
+async def _run_until_drained(core, *, path):
     core.part("journal").write(
         "start", boot=time.time_ns() // 1_000_000, pid=os.getpid()
     )
@@ -97,7 +98,7 @@
 
 
 def _reload(core, path):
-    """Apply reloadable settings; log the others that have changed."""
+    """Apply reloadable settings; log all that differ from the start."""
     event_log = core.part("journal")
     try:
         settings = schema.load(path)
--- a/sycamoreshed/gateway/deadline_history.py
+++ b/sycamoreshed/gateway/deadline_history.py
@@ -5,7 +5,8 @@
 # Minimum share of a route's longest deadline on a first attempt; a request
 # with a shorter one is taken for a retry.
 FIRST_ATTEMPT_SHARE = 0.85
-# Beyond this the history is cleared: operators may configure thousands.
+# With this many the history is cleared before the next deadline is stored:
+# operators may configure thousands of routes.
 MAX_ROUTES = 2000
 
 
--- a/sycamoreshed/gateway/error_responses.py
+++ b/sycamoreshed/gateway/error_responses.py
@@ -11,8 +11,8 @@
 # The platform's callers take this status as "has not run and never will".
 # It is sent only if that is true; they may then retry.
 NOT_RUN_STATUS = 503
-# Of requests that may have run: they failed, or their outcome is unknown
-# after a timeout.
+# Of requests that may have run: 504 if the outcome is unknown (see
+# `_UNKNOWN_OUTCOMES`), 502 after any other failure.
 FAILED_STATUS = 502
 UNKNOWN_STATUS = 504
 # These keep the status of their kind, whether or not anything was sent: the
@@ -25,7 +25,7 @@
         kinds.Kind.UNKNOWN_PATH,
     )
 )
-_TIMEOUTS = frozenset((kinds.Kind.LATE, kinds.Kind.OUTCOME_UNKNOWN))
+_UNKNOWN_OUTCOMES = frozenset((kinds.Kind.LATE, kinds.Kind.OUTCOME_UNKNOWN))
 
 
 def status_of(failure):
@@ -42,7 +42,9 @@
         return kinds.ANSWERS[failure.kind].status
     if not failure.sent:
         return NOT_RUN_STATUS
-    return UNKNOWN_STATUS if failure.kind in _TIMEOUTS else FAILED_STATUS
+    return (
+        UNKNOWN_STATUS if failure.kind in _UNKNOWN_OUTCOMES else FAILED_STATUS
+    )
 
 
 def error_response(failure, request_id, retry_after):
--- a/sycamoreshed/gateway/handler.py
+++ b/sycamoreshed/gateway/handler.py
@@ -15,7 +15,7 @@
 
 __all__ = ["Handler"]
 
-# Minimum `Retry-After` of requests that have not run.
+# Minimum `Retry-After` of requests that have not run, except while stopping.
 MIN_RETRY_AFTER_S = 0.3
 # While this instance stops, another one can serve the retry at once.
 DRAINING_RETRY_AFTER_S = 0.0
@@ -46,7 +46,7 @@
         self.on_begin = None
 
     async def begin(self, response):
-        """Send the head of the response, that of the first engine."""
+        """Send the response head of the first engine that streams."""
         headers = self._codec.response_headers(response.headers)
         self.response = web.StreamResponse(
             status=response.status, reason=response.reason, headers=headers
@@ -132,7 +132,7 @@
         finally:
             self.in_flight -= 1
 
-    async def wait_for_backlog(self):
+    async def wait_until_read(self):
         """Wait until the requests that have arrived are read."""
         await backlog.wait_until_read(lambda: self._received, self._clock)
 
@@ -222,7 +222,7 @@
             async with limits.limit(remaining_s):
                 outcome = await self._forwarder.forward(request, sink)
         except TimeoutError:
-            # Calls that were sent have been cancelled, but may have run.
+            # A call that was sent has been cancelled, but may have run.
             outcome = forwarder.Outcome(
                 failure=kinds.Failure(
                     kinds.Kind.LATE, "deadline passed", sent=True
--- a/sycamoreshed/gateway/listeners.py
+++ b/sycamoreshed/gateway/listeners.py
@@ -9,9 +9,10 @@
 
 __all__ = ["drain"]
 
-# Longer than the idle limit of any configuration: callers reuse connections
+# Must exceed the idle limit of every configuration: callers reuse connections
 # up to that limit, and a request can be lost on one that is closed earlier.
 KEEPALIVE_S = 120.0
+# Of the request line, and of each header field.
 MAX_HEADER_BYTES = 32768
 # The load balancer checks readiness once a second and reacts to two failed
 # checks, so new connections arrive for up to three seconds after SIGTERM.
@@ -49,7 +50,7 @@
     )
     runner = web.ServerRunner(server, shutdown_timeout=0)
     await runner.setup()
-    # Many connections arrive at once after many instances have failed.
+    # Sized for connections that arrive at once after many instances failed.
     await web.SockSite(runner, bound_socket, backlog=1024).start()
     return runner
 
@@ -80,7 +81,7 @@
     journal = core.part("journal")
     journal.write("stop", in_flight=handler.in_flight)
     await asyncio.sleep(min(ACCEPT_S, core.settings.grace_s / 2))
-    await handler.wait_for_backlog()
+    await handler.wait_until_read()
     handler.is_accepting = False
     deadline = started_at + core.settings.grace_s - WRITE_MARGIN_S
     control = core.part("inner")
--- a/sycamoreshed/gateway/metrics.py
+++ b/sycamoreshed/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a forwarding daemon.
+"""Metrics of a forwarding daemon.
 
 Label values are a limited number of route names and fixed lists, so the
 number of series does not grow with teams or endpoints.
@@ -10,7 +10,8 @@
 
 __all__ = ["GatewayMetrics"]
 
-# Further routes share a label: operators may configure thousands.
+# Further routes, and requests without a route, share a label: operators may
+# configure thousands.
 MAX_ROUTE_LABELS = 50
 OTHER_LABEL = "other"
 BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 1.8, 2.5, 4, 6, 10, 20)
--- a/sycamoreshed/gateway/settings.py
+++ b/sycamoreshed/gateway/settings.py
@@ -56,8 +56,9 @@
     grace_s : float
         Grace period: seconds from SIGTERM to SIGKILL.
     stable_ms : int
-        After a disturbance, milliseconds until this instance counts as
-        undisturbed.
+        Milliseconds after a disturbance (a lost connection, or history
+        that the table store dropped) from which on this instance counts
+        as undisturbed.
     apply_ms : int
         Milliseconds within which an undisturbed instance must receive a
         new configuration.
@@ -95,7 +96,7 @@
 
     @property
     def cores(self):
-        """Processor time that this instance may use, in cores."""
+        """Processor capacity that this instance may use, in cores."""
         return self.core_share * self.core_speed
 
 
--- a/sycamoreshed/gateway/tests/test_error_responses.py
+++ b/sycamoreshed/gateway/tests/test_error_responses.py
@@ -10,9 +10,10 @@
 
 @pytest.mark.parametrize("kind", list(kinds.Kind))
 def test_not_run_status_requires_that_nothing_was_sent(kind):
-    """A ballot that may have been recorded is not reported as "not run".
+    """A request that may have run is not reported as "not run".
 
-    With such a status the member's client would vote again.
+    With such a status the caller's client would send it again: a ballot
+    that may have been recorded would be cast twice.
     """
     failure = kinds.Failure(kind, "why", sent=True)
     assert error_responses.status_of(failure) not in NOT_RUN_STATUSES
--- a/sycamoreshed/platform/calls.py
+++ b/sycamoreshed/platform/calls.py
@@ -80,8 +80,8 @@
 def parse_head(headers):
     """Parse the headers of a request into a `Head`.
 
-    A value that cannot be parsed counts as missing: the endpoint checks it
-    too.
+    Numbers that cannot be parsed count as missing, and invalid parts of a
+    prefix are skipped: the endpoint checks the forwarded headers too.
     """
     authorization = headers.get(names.AUTHORIZATION, "")
     key = None
--- a/sycamoreshed/platform/names.py
+++ b/sycamoreshed/platform/names.py
@@ -1,6 +1,7 @@
 """Names in the platform's wire formats.
 
-No other folder may contain them; `tools/wirenames.py` checks that.
+No other folder of the package may contain them; `tools/wirenames.py` checks
+that.
 """
 
 __all__ = [
@@ -28,9 +29,9 @@
 AUTHORIZATION = "Authorization"
 KEY_SCHEME = "Token "
 
-# Removed from callers' requests: with these headers a caller could make an
-# engine use memory or reservations that are not the caller's, or impersonate
-# another team.
+# Removed from callers' requests: this project sets them itself, or they
+# would make an engine use memory or reservations that are not the caller's,
+# or let a caller impersonate another team.
 RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -48,7 +49,8 @@
         "Kv-Fetch",
     )
 )
-# Apply to a single connection only (RFC 9110, 7.6.1).
+# Apply to a single connection only (RFC 9110, 7.6.1); here Expect and
+# Content-Length count as such too.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
@@ -72,7 +74,7 @@
 ROWS_TX = "/v1/rows-tx"
 
 # The operator's table with the row of the configuration, and the table in
-# which endpoints register; the platform writes both tables.
+# which endpoints register; this project only reads both.
 OPERATOR_TABLE = "op"
 CONFIGURATION_KEY = "config"
 ENDPOINT_TABLE = "servers"
--- a/sycamoreshed/platform/platform.py
+++ b/sycamoreshed/platform/platform.py
@@ -18,7 +18,8 @@
     """
 
     configuration_key = names.CONFIGURATION_KEY
-    # Maps this project's names of table copies to the store's table names.
+    # Maps this project's names of table copies to the store's table names;
+    # "settings" holds the operator's configuration.
     tables = {
         "settings": names.OPERATOR_TABLE,
         "endpoints": names.ENDPOINT_TABLE,
--- a/sycamoreshed/platform/records.py
+++ b/sycamoreshed/platform/records.py
@@ -30,8 +30,8 @@
     name: str
     host: str
     prefix: str
-    # What may run again: "safe", "unsafe" or "streaming".  Requests are
-    # idempotent only if "safe".
+    # Tells which requests may run again: "safe" (idempotent), "unsafe" or
+    # "streaming" (only if resumable).
     route_kind: str
     timeout_ms: float
     target_latency_ms: float = 1000.0
@@ -105,8 +105,8 @@
     zone: str
     state: str
     slots: int = 1
-    # At the top level of everything an endpoint writes about itself: start
-    # of its process, not creation of the entry.
+    # Start of the endpoint's process, not of the entry, in Unix time in ms;
+    # at the top level of everything an endpoint writes about itself.
     born: int = 0
 
 
--- a/sycamoreshed/platform/store.py
+++ b/sycamoreshed/platform/store.py
@@ -1,6 +1,7 @@
 """Client of the platform's table store.
 
-This project uses only rows whose part is empty.  Calls return values or a
+A row has a table, a part and a key; this project uses only rows whose part
+is empty.  Calls return values or a
 `Failure`, which the caller has to handle.
 """
 
@@ -170,8 +171,9 @@
 
 
 def _decode_value(text):
-    # Any writer of the platform may store a value that is not base64.  It
-    # names nothing usable, and must not prevent reading the other rows.
+    # Any writer of the platform may store a value that is not base64.  What
+    # it decodes to names nothing usable, and must not prevent reading the
+    # other rows.
     try:
         return base64.b64decode(text or "")
     except (ValueError, TypeError):
--- a/sycamoreshed/platform/tests/test_calls.py
+++ b/sycamoreshed/platform/tests/test_calls.py
@@ -34,7 +34,7 @@
     ],
 )
 def test_reserved_and_hop_by_hop_headers_are_removed(name):
-    """A caller names memory or a reservation of another caller's request.
+    """Some of these name memory or a reservation of another caller's request.
 
     If the header were forwarded, an engine would answer from those.
     """
--- a/sycamoreshed/platform/tests/test_records.py
+++ b/sycamoreshed/platform/tests/test_records.py
@@ -49,7 +49,7 @@
     [("safe", True), ("unsafe", False), ("streaming", False)],
 )
 def test_only_routes_of_kind_safe_are_idempotent(kind, idempotent):
-    """If a name or a method decided, a ballot would be sent again."""
+    """If a name or a method decided, a ballot would be sent twice."""
     configuration = decoded(routes=[wiredata.route(route_kind=kind)])
     assert configuration.routes[0].idempotent is idempotent
 
