--- a/sycamoreshed/adapters/__init__.py
+++ b/sycamoreshed/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""One narrow module for each outside interface."""
+"""Clients of external interfaces, one module for each."""
--- a/sycamoreshed/adapters/endpoints.py
+++ b/sycamoreshed/adapters/endpoints.py
@@ -1,7 +1,7 @@
 """Calls to endpoints: engines, pools of encoders, plain services.
 
-Every call names request, stage and attempt, and every answer must name
-the same three, or it is not this call's answer.
+Every call carries the ids of its request, stage and attempt.  An answer
+must carry the same three; otherwise it belongs to another call.
 """
 
 import asyncio
@@ -20,31 +20,32 @@
 CANCEL_TIMEOUT_S = 1.0
 BUSY = 429
 
-_cancels = set()
+_cancel_tasks = set()
 
 
 class Call(typing.NamedTuple):
-    """What is sent to an endpoint.
+    """The body of a call to an endpoint.
 
     Parameters
     ----------
     request : str
-        The request this is for.
+        Id of the request.
     stage : str
     attempt : str
-        Unique for each call ever sent.
+        Id of the attempt, unique among all calls ever sent.
     deadline_ms : float
-        Remaining time of the call when it leaves.
+        Remaining time of the call when it is sent.
     payload : object
-        Output of the stage before, or the caller's input.
+        Output of the previous stage, or the caller's input.
     key : str or None
-        Names a call that may not be repeated.
+        Idempotency key of a call that must not be repeated.
     priority : int
         Lower is served first.
     offset : int
-        Tokens the caller has already; a stream resumes after them.
+        Number of tokens the caller already has; a stream resumes after
+        them.
     prefix : str or None
-        Hash of the prompt's prefix, for the cache.
+        Hash of the prompt's prefix, for the prefix cache.
     adapter : str or None
     """
 
@@ -61,7 +62,7 @@
 
 
 class StageAnswer(typing.NamedTuple):
-    """A whole answer of a unary call; ``size`` counts bytes both ways."""
+    """The full answer to a unary call; ``size`` is bytes sent and received."""
 
     output: typing.Any
     size: int
@@ -73,13 +74,13 @@
     Parameters
     ----------
     offset : int
-        Position of the token in the whole answer.
+        Position of the token in the full answer.
     token : str or None
-        None in the finishing mark.
+        None in the final chunk.
     finish : str or None
-        ``stop`` in the finishing mark, whose offset is the length.
+        ``stop`` in the final chunk, whose offset is the answer's length.
     size : int
-        In the finishing mark, bytes of the call both ways.
+        In the final chunk, bytes sent and received by the call.
     """
 
     offset: int
@@ -89,7 +90,7 @@
 
 
 class Line(typing.TypedDict):
-    """One line of a stream as it is on the wire."""
+    """One line of a stream, as decoded."""
 
     request: str
     stage: str
@@ -121,8 +122,8 @@
         Returns
         -------
         StageAnswer or Failure
-            A failure's ``sent`` is false only when no byte left, or the
-            endpoint itself said that it did not start.
+            A failure's ``sent`` is false only if no byte was sent, or if
+            the endpoint reported that it did not start the call.
         """
         reply = await web.fetch(
             self._session,
@@ -147,21 +148,21 @@
         return StageAnswer(reply.body["output"], reply.size + reply.sent_size)
 
     async def stream(self, endpoint, call, *, timeout):
-        """Send one streamed call; yield `Chunk`, then perhaps `Failure`.
+        """Send one streamed call; yield `Chunk`, perhaps `Failure` at the end.
 
         Notes
         -----
-        A stream that ends without its finishing mark yields a failure,
-        so that a broken one is never taken for whole.
+        A stream that ends without its final chunk yields a failure, so
+        that a truncated answer is never treated as complete.
         """
         data = msgspec.json.encode(call._asdict())
         size = len(data)
         loop = asyncio.get_running_loop()
-        end = loop.time() + timeout
+        deadline = loop.time() + timeout
         try:
             async with contextlib.AsyncExitStack() as stack:
-                # One limit around the whole would also end what whoever
-                # reads the stream does between two chunks.
+                # A single limit around the loop would also interrupt the
+                # consumer of the stream between two chunks.
                 async with timeouts.time_limit(timeout):
                     response = await stack.enter_async_context(
                         self._session.post(
@@ -175,7 +176,7 @@
                     yield _status_failure(response.status)
                     return
                 while True:
-                    async with timeouts.time_limit(end - loop.time()):
+                    async with timeouts.time_limit(deadline - loop.time()):
                         line = await response.content.readline()
                     if not line:
                         break
@@ -196,7 +197,8 @@
             )
             return
         except (*web.TRANSPORT_ERRORS, msgspec.DecodeError, ValueError) as err:
-            # A line that is cut off, is no JSON or is too long.
+            # The connection broke, or a line is truncated, not valid or too
+            # long.
             yield kinds.Failure(
                 kinds.Kind.BROKEN_STREAM, web.describe(err), sent=True
             )
@@ -206,7 +208,7 @@
         )
 
     async def cancel(self, endpoint, call):
-        """Tell an endpoint that a call's answer is not wanted any more."""
+        """Tell an endpoint that the answer to a call is no longer needed."""
         await web.fetch(
             self._session,
             "POST",
@@ -217,12 +219,12 @@
         )
 
     async def look_up(self, endpoint, key, *, timeout):
-        """Ask an endpoint what became of the call with `key`.
+        """Ask an endpoint for the outcome of the call with `key`.
 
         Returns
         -------
         dict or Failure
-            With ``state`` (``ran`` or ``never``) and ``output``.
+            With ``state`` (``ran`` or ``never``) and, if it ran, ``output``.
         """
         reply = await web.fetch(
             self._session,
@@ -239,7 +241,7 @@
         return reply.body
 
     async def request(self, endpoint, method, path, *, timeout, body=None):
-        """Send a request that is no stage call: load, state, orders.
+        """Send a request that is not a stage call, such as for the load.
 
         Returns
         -------
@@ -264,11 +266,11 @@
         return Chunk(line["offset"], token, finish)
 
     def _is_answer_to(self, body, call):
-        named = (body.get("request"), body.get("stage"), body.get("attempt"))
-        if named == (call.request, call.stage, call.attempt):
+        ids = (body.get("request"), body.get("stage"), body.get("attempt"))
+        if ids == (call.request, call.stage, call.attempt):
             return True
-        same = body.get("request") == call.request
-        why = "other-attempt" if same else "other-request"
+        same_request = body.get("request") == call.request
+        why = "other-attempt" if same_request else "other-request"
         self._metrics.strays.labels(why).inc()
         return False
 
@@ -280,7 +282,7 @@
         session=core.part("web"),
         metrics=core.part("metrics"),
     )
-    await asyncio.gather(*_cancels, return_exceptions=True)
+    await asyncio.gather(*_cancel_tasks, return_exceptions=True)
 
 
 def _stage_failure(failure):
@@ -298,17 +300,18 @@
 
 
 async def cancel_in_background(client, endpoint, call):
-    """Begin to cancel a call; neither wait for it nor fail with it.
+    """Start to cancel a call; neither wait for it nor raise its errors.
 
     Notes
     -----
-    Who calls this is often being cancelled itself, by a deadline or by
-    its caller's going away.  Waiting here would hold up a late answer by
-    the time of the cancel, up to a second when the endpoint hangs; and
-    a second cancellation during the wait would leave the rest undone.
-    The set keeps the task: the loop itself holds only a weak reference,
-    and a task that is collected never sends its cancel.
+    The task that calls this is often being cancelled itself, because its
+    deadline passed or its caller disconnected.  Waiting here would delay
+    an answer that is already late by the time of the cancel, up to a
+    second if the endpoint hangs; and a second cancellation during the wait
+    would skip the rest of the cleanup.  The set keeps a reference to the
+    task: the event loop has only a weak one, and a task that is garbage
+    collected never sends its cancel.
     """
     task = asyncio.create_task(client.cancel(endpoint, call))
-    _cancels.add(task)
-    task.add_done_callback(_cancels.discard)
+    _cancel_tasks.add(task)
+    task.add_done_callback(_cancel_tasks.discard)
--- a/sycamoreshed/adapters/engines.py
+++ b/sycamoreshed/adapters/engines.py
@@ -1,7 +1,7 @@
 """Control of model engines: state, orders, load, cache events, KV cache.
 
-The wire of stage calls is in `sycamoreshed.adapters.endpoints`; here is
-what engines offer beside it.
+The protocol of stage calls is in `sycamoreshed.adapters.endpoints`; this
+module has the other interfaces of engines.
 """
 
 import typing
@@ -16,12 +16,12 @@
 __all__ = ["Engines", "Order", "Outdated", "State", "Target"]
 
 CONFLICT = 409
-# Request and status lines with headers, both ways.
-LINES_BYTES = 330
+# Bytes of the request line, the status line and the headers of a call.
+HEADER_BYTES = 330
 
 
 class Target(typing.TypedDict):
-    """What an engine is to have loaded."""
+    """The model, adapters and role that an engine should have loaded."""
 
     model: str
     version: str
@@ -30,19 +30,19 @@
 
 
 class State(typing.NamedTuple):
-    """What an engine reports of itself.
+    """The state that an engine reports.
 
     Parameters
     ----------
     loaded : Target or None
     loading : Target or None
-        What it is on the way to.
+        Target whose load is in progress.
     serving : bool
-        Whether it takes stage calls now.
+        Whether it accepts stage calls now.
     fence : int
-        Highest fencing number met; zero before the first order.
+        Highest fencing number received; zero before the first order.
     config : int
-        Configuration version of the last order taken.
+        Configuration version of the last order accepted.
     """
 
     loaded: Target | None
@@ -53,7 +53,7 @@
 
 
 class Order(typing.TypedDict):
-    """An order: the wanted end, or None to unload."""
+    """An order to load a target, or to unload if it is None."""
 
     fence: int
     config: int
@@ -61,13 +61,13 @@
 
 
 class Outdated(typing.NamedTuple):
-    """The engine refused an order: it has met a higher number."""
+    """The engine rejected an order: it has received a higher ``fence``."""
 
     fence: int
 
 
 class Engines:
-    """Client of the engines' control interface.
+    """Client of the control interface of engines.
 
     Parameters
     ----------
@@ -81,16 +81,16 @@
         self._traffic = traffic
 
     async def state(self, endpoint, *, timeout):
-        """Read back what an engine has loaded.
+        """Read the state of an engine.
 
         Returns
         -------
         State or Failure
         """
-        reply = await self._ask(endpoint, "GET", "/state", timeout=timeout)
+        reply = await self._request(endpoint, "GET", "/state", timeout=timeout)
         if isinstance(reply, kinds.Failure):
             return reply
-        return _checked(reply, State)
+        return _convert(reply, State)
 
     async def send_order(self, endpoint, order, *, timeout, is_allowed):
         """Send an order.
@@ -102,28 +102,30 @@
         timeout : float
             Seconds.
         is_allowed : callable
-            Without arguments; asked when the body is about to leave.
+            Takes no arguments; called just before the body is sent, which
+            happens only if it returns true.
 
         Returns
         -------
         True, Outdated or Failure
             A failure with ``sent`` true means that the order may have
-            taken effect or may do so later; of kind ``lease-lost``, that
-            it did not leave.
+            taken effect or may do so later; one of kind ``lease-lost``
+            means that the order was not sent.
 
         Notes
         -----
-        Between deciding on an order and its first byte lies the opening
-        of a connection, and the process may be paused there.  It would
-        go on after its lease and overwrite what its successor ordered.
-        So the lease is asked once more by whoever writes the body.
+        A connection is opened between the decision on an order and its
+        first byte, and the process may be paused there.  It could resume
+        after its lease has expired and overwrite the orders of the next
+        holder.  So `is_allowed` checks the lease again when the body is
+        written.
         """
-        lapsed = False
+        denied = False
 
         async def body():
-            nonlocal lapsed
+            nonlocal denied
             if not is_allowed():
-                lapsed = True
+                denied = True
                 raise OSError("the lease lapsed before the order left")
             yield msgspec.json.encode(order)
 
@@ -147,26 +149,26 @@
             )
         except web.TRANSPORT_ERRORS as err:
             reason = web.describe(err)
-            if lapsed:
+            if denied:
                 return kinds.Failure(kinds.Kind.LEASE_LOST, reason)
             return kinds.Failure(kinds.Kind.REFUSED, reason, sent=True)
         size = len(msgspec.json.encode(order)) + len(raw)
-        self._traffic.inc(LINES_BYTES + size)
+        self._traffic.inc(HEADER_BYTES + size)
         return _order_outcome(response.status, raw)
 
     async def load(self, endpoint, *, timeout):
-        """Read an engine's lagging load report; dict or Failure."""
-        reply = await self._ask(endpoint, "GET", "/load", timeout=timeout)
-        return _body(reply)
+        """Read an engine's load report, which is delayed; dict or Failure."""
+        reply = await self._request(endpoint, "GET", "/load", timeout=timeout)
+        return _body_of(reply)
 
     async def cache_events(self, endpoint, *, after, timeout):
-        """Read changes of the prefix cache, late and with gaps.
+        """Read changes of the prefix cache; reports are delayed and have gaps.
 
         Parameters
         ----------
         endpoint : Endpoint
         after : int
-            Sequence number of the last event known.
+            Sequence number of the last event received.
         timeout : float
 
         Returns
@@ -174,28 +176,30 @@
         list of dict, or Failure
         """
         path = f"/cache-events?after={after}"
-        body = _body(await self._ask(endpoint, "GET", path, timeout=timeout))
+        body = _body_of(
+            await self._request(endpoint, "GET", path, timeout=timeout)
+        )
         return body if isinstance(body, kinds.Failure) else body["events"]
 
     async def kv_export(self, endpoint, prefix, *, timeout):
-        """Ask for the KV cache of a prefix; dict or Failure."""
+        """Make an engine export the KV cache of a prefix; dict or Failure."""
         return await self._kv(endpoint, "export", prefix, timeout)
 
     async def kv_import(self, endpoint, prefix, *, timeout):
-        """Hand over the KV cache of a prefix; dict or Failure."""
+        """Make an engine import the KV cache of a prefix; dict or Failure."""
         return await self._kv(endpoint, "import", prefix, timeout)
 
-    async def _kv(self, endpoint, what, prefix, timeout):
-        reply = await self._ask(
+    async def _kv(self, endpoint, action, prefix, timeout):
+        reply = await self._request(
             endpoint,
             "POST",
-            f"/kv/{what}",
+            f"/kv/{action}",
             timeout=timeout,
             body={"prefix": prefix},
         )
-        return _body(reply)
+        return _body_of(reply)
 
-    async def _ask(self, endpoint, method, path, *, timeout, body=None):
+    async def _request(self, endpoint, method, path, *, timeout, body=None):
         reply = await web.fetch(
             self._session,
             method,
@@ -206,7 +210,7 @@
         )
         if isinstance(reply, kinds.Failure):
             return reply
-        self._traffic.inc(LINES_BYTES + reply.size + reply.sent_size)
+        self._traffic.inc(HEADER_BYTES + reply.size + reply.sent_size)
         if reply.status != 200:
             return kinds.Failure(
                 kinds.Kind.STAGE_FAILED, f"status {reply.status}", sent=True
@@ -227,12 +231,12 @@
     return True
 
 
-def _body(reply):
+def _body_of(reply):
     return reply if isinstance(reply, kinds.Failure) else reply.body
 
 
-def _checked(reply, kind):
-    """Return the body as `kind`; an engine may answer anything."""
+def _convert(reply, kind):
+    """Convert the body to `kind`; an engine may send anything."""
     fields = reply.body if isinstance(reply.body, dict) else {}
     values = [
         fields.get(name, kind._field_defaults.get(name))
@@ -250,6 +254,6 @@
 
 @kernel.plugin("engines", needs=("metrics", "web"))
 async def engines(core):
-    """Provide the client of the engines' control interface."""
+    """Provide the client of the control interface of engines."""
     traffic = core.part("metrics").control_bytes.labels("orders")
     yield Engines(session=core.part("web"), traffic=traffic)
--- a/sycamoreshed/adapters/instancelist.py
+++ b/sycamoreshed/adapters/instancelist.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving instances, which lags."""
+"""The platform's list of live and leaving instances; may be stale."""
 
 import typing
 
@@ -21,7 +21,7 @@
     state : str
         ``live`` or ``leaving``.
     generation : int
-        Grows with each state the instance takes.
+        Increases with each change of the instance's state.
     """
 
     name: str
@@ -31,7 +31,7 @@
     generation: int
 
 
-class _Item(typing.TypedDict):
+class _InstanceItem(typing.TypedDict):
     name: str
     address: str
     zone: str
@@ -39,8 +39,8 @@
     generation: int
 
 
-class _Answer(typing.TypedDict):
-    instances: list[_Item]
+class _ListBody(typing.TypedDict):
+    instances: list[_InstanceItem]
 
 
 class InstanceList:
@@ -57,7 +57,7 @@
         Returns
         -------
         list of ListedInstance, or Failure
-            Of kind ``store-away``, also for what is no list.
+            Of kind ``store-away``, also if the answer is not a list.
         """
         reply = await web.fetch(
             self._session,
@@ -73,7 +73,7 @@
                 kinds.Kind.STORE_AWAY, f"status {reply.status}"
             )
         try:
-            answer = msgspec.convert(reply.body, _Answer)
+            answer = msgspec.convert(reply.body, _ListBody)
         except msgspec.ValidationError as err:
             return kinds.Failure(kinds.Kind.STORE_AWAY, str(err))
         return [ListedInstance(**item) for item in answer["instances"]]
--- a/sycamoreshed/adapters/objects.py
+++ b/sycamoreshed/adapters/objects.py
@@ -1,4 +1,4 @@
-"""The platform's object store: named blobs of JSON."""
+"""Client of the platform's object store, which holds JSON by name."""
 
 import urllib.parse
 
@@ -24,7 +24,7 @@
             return reply
         if reply.status == 404:
             return None
-        return reply.body if reply.status == 200 else _refused(reply)
+        return reply.body if reply.status == 200 else _rejection_failure(reply)
 
     async def put(self, name, value):
         """Store an object.
@@ -32,12 +32,13 @@
         Returns
         -------
         True or Failure
-            A failure with ``sent`` true means that it may be stored.
+            A failure with ``sent`` true means that the object may have been
+            stored.
         """
         reply = await self._fetch("PUT", name, body=value)
         if isinstance(reply, kinds.Failure):
             return reply
-        return True if reply.status == 200 else _refused(reply)
+        return True if reply.status == 200 else _rejection_failure(reply)
 
     async def delete(self, name):
         """Delete an object.
@@ -52,7 +53,7 @@
             return reply
         if reply.status == 404:
             return False
-        return True if reply.status == 200 else _refused(reply)
+        return True if reply.status == 200 else _rejection_failure(reply)
 
     async def _fetch(self, method, name, *, body=None):
         reply = await web.fetch(
@@ -72,7 +73,7 @@
         return reply
 
 
-def _refused(reply):
+def _rejection_failure(reply):
     return kinds.Failure(
         kinds.Kind.STORE_AWAY, f"status {reply.status}", sent=False
     )
--- a/sycamoreshed/adapters/table.py
+++ b/sycamoreshed/adapters/table.py
@@ -1,4 +1,4 @@
-"""The platform's table service: rows, and conditional transactions."""
+"""Client of the platform's table service: rows and conditional writes."""
 
 import typing
 import urllib.parse
@@ -15,7 +15,7 @@
 
 
 class Row(typing.NamedTuple):
-    """A row; ``version`` is zero when it does not exist."""
+    """A row; ``version`` is `ABSENT` if the row does not exist."""
 
     key: str
     value: typing.Any
@@ -23,7 +23,7 @@
 
 
 class Write(typing.NamedTuple):
-    """A write that holds only if the row has version ``if_version``.
+    """A write that takes effect only if the row has version ``if_version``.
 
     A value of None deletes the row.
     """
@@ -34,13 +34,13 @@
 
 
 class Written(typing.NamedTuple):
-    """All writes took effect; their new versions, in order."""
+    """All writes took effect; ``versions`` are the new ones, in order."""
 
     versions: tuple
 
 
 class Conflict(typing.NamedTuple):
-    """No write took effect; rows whose version was another one."""
+    """No write took effect; ``rows`` are those with another version."""
 
     rows: tuple
 
@@ -51,15 +51,15 @@
     version: int
 
 
-class _Scanned(typing.TypedDict):
+class _ScanBody(typing.TypedDict):
     rows: list[_RowBody]
 
 
-class _Refused(typing.TypedDict):
+class _ConflictBody(typing.TypedDict):
     conflicts: list[_RowBody]
 
 
-class _Done(typing.TypedDict):
+class _WrittenBody(typing.TypedDict):
     versions: list[int]
 
 
@@ -88,16 +88,16 @@
             Of kind ``store-away``.
         """
         path = "/rows/" + urllib.parse.quote(key, safe="")
-        reply = await self._fetch("GET", path, other=404)
+        reply = await self._fetch("GET", path, accepted=404)
         if isinstance(reply, kinds.Failure):
             return reply
         if reply.status == 404:
             return Row(key, None, ABSENT)
-        body = _converted(reply.body, _RowBody)
+        body = _convert(reply.body, _RowBody)
         return body if isinstance(body, kinds.Failure) else Row(**body)
 
     async def scan(self, prefix, *, after="", limit=1000):
-        """Read rows whose key begins with `prefix`, in order of key.
+        """Read rows whose key starts with `prefix`, in order of key.
 
         Returns
         -------
@@ -109,13 +109,13 @@
         reply = await self._fetch("GET", f"/scan?{query}")
         if isinstance(reply, kinds.Failure):
             return reply
-        body = _converted(reply.body, _Scanned)
+        body = _convert(reply.body, _ScanBody)
         if isinstance(body, kinds.Failure):
             return body
         return [Row(**row) for row in body["rows"]]
 
     async def write(self, *writes):
-        """Write rows, all or none.
+        """Write rows in one transaction: all or none.
 
         Returns
         -------
@@ -124,20 +124,20 @@
             taken effect or may do so later.
         """
         body = {"writes": [write._asdict() for write in writes]}
-        reply = await self._fetch("POST", "/transact", body=body, other=409)
+        reply = await self._fetch("POST", "/transact", body=body, accepted=409)
         if isinstance(reply, kinds.Failure):
             return reply
         if reply.status == 409:
-            body = _converted(reply.body, _Refused)
+            body = _convert(reply.body, _ConflictBody)
             if isinstance(body, kinds.Failure):
                 return body
             return Conflict(tuple(Row(**row) for row in body["conflicts"]))
-        body = _converted(reply.body, _Done)
+        body = _convert(reply.body, _WrittenBody)
         if isinstance(body, kinds.Failure):
             return body
         return Written(tuple(body["versions"]))
 
-    async def _fetch(self, method, path, *, body=None, other=200):
+    async def _fetch(self, method, path, *, body=None, accepted=200):
         reply = await web.fetch(
             self._session,
             method,
@@ -148,9 +148,9 @@
         )
         if isinstance(reply, kinds.Failure):
             return reply._replace(kind=kinds.Kind.STORE_AWAY)
-        if reply.status not in (200, other):
-            # A refusal, as of too many calls a second, had no effect;
-            # after an error of the service nobody knows.
+        if reply.status not in (200, accepted):
+            # A rejection, such as of too many calls a second, has no
+            # effect; after an error of the service the outcome is unknown.
             return kinds.Failure(
                 kinds.Kind.STORE_AWAY,
                 f"status {reply.status}",
@@ -159,8 +159,8 @@
         return reply
 
 
-def _converted(body, kind):
-    """Return a body as `kind`; what is between may answer anything."""
+def _convert(body, kind):
+    """Convert a body to `kind`; an intermediary may send anything."""
     try:
         return msgspec.convert(body, kind)
     except msgspec.ValidationError as err:
--- a/sycamoreshed/adapters/tests/serving.py
+++ b/sycamoreshed/adapters/tests/serving.py
@@ -1,4 +1,4 @@
-"""A stand-in and a proxy before it, in the test's own process."""
+"""A stand-in behind a proxy, in the process of the test."""
 
 import contextlib
 
@@ -13,7 +13,7 @@
 
 @contextlib.asynccontextmanager
 async def running(kind, **spec):
-    """Yield a client session, the proxy and the stand-in's faults."""
+    """Run a stand-in; yield a session, the proxy and the stand-in's faults."""
     fault = faults.Faults()
     part = registry.KINDS.get(kind)(spec, fault)
     app = web.Application(middlewares=[fault.middleware()])
--- a/sycamoreshed/adapters/tests/test_endpoints.py
+++ b/sycamoreshed/adapters/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The client of endpoints, against stand-ins: what each fault becomes."""
+"""Results of the client of endpoints for each fault of a stand-in."""
 
 import contextlib
 import socket
@@ -37,14 +37,14 @@
 
 def endpoint_at(address):
     """Return an endpoint with an address."""
-    (found,) = builders.config(
+    (endpoint,) = builders.config(
         {"one": builders.endpoint_spec(address)}
     ).endpoints["encoder"]
-    return found
+    return endpoint
 
 
-def time_for(fault):
-    """Return the seconds of a call; few only if all are to pass."""
+def timeout_for(fault):
+    """Return the timeout of a call; short only if the call is to reach it."""
     return 0.5 if "delay_s" in fault else 30.0
 
 
@@ -70,13 +70,14 @@
     ],
 )
 async def test_unary_faults(fault, kind, sent):
-    """An endpoint fails in each way it can.
+    """An endpoint shows each of its faults.
 
-    Told "not sent" of a call that was, a ballot would be cast twice.
+    A call that is reported as not sent is repeated; if it had been sent, a
+    call that must not be repeated would run twice.
     """
     async with client_of("pool", fault) as (client, endpoint):
         result = await client.call(
-            endpoint, new_call(1), timeout=time_for(fault)
+            endpoint, new_call(1), timeout=timeout_for(fault)
         )
     if kind is None:
         assert result.output == {"stage": "s", "of": {"x": 1}}
@@ -85,7 +86,7 @@
         assert (result.kind, result.sent) == (kind, sent)
 
 
-async def test_answer_to_an_earlier_call_is_told_from_ones_own():
+async def test_answer_to_an_earlier_call_is_stray():
     async with client_of("pool", {"swap": 1.0}) as (client, endpoint):
         first = await client.call(endpoint, new_call(1), timeout=5)
         second = await client.call(endpoint, new_call(2), timeout=5)
@@ -113,9 +114,11 @@
     ],
 )
 async def test_stream_faults(fault, offsets, end):
-    """An engine spoils its stream in each way it can."""
+    """An engine shows each of its faults in a stream."""
     async with client_of("engine", fault, **ENGINE) as (client, endpoint):
-        stream = client.stream(endpoint, new_call(1), timeout=time_for(fault))
+        stream = client.stream(
+            endpoint, new_call(1), timeout=timeout_for(fault)
+        )
         items = [item async for item in stream]
     chunks = [item for item in items if isinstance(item, endpoints.Chunk)]
     assert [chunk.offset for chunk in chunks] == offsets
@@ -128,7 +131,7 @@
         assert len(items) == len(offsets) + 1
 
 
-async def test_resumed_stream_begins_at_its_offset():
+async def test_resumed_stream_starts_at_its_offset():
     async with client_of("engine", {}, **ENGINE) as (client, endpoint):
         call = new_call(1, offset=4)
         items = [
@@ -139,13 +142,13 @@
 
 @pytest.mark.parametrize("connects", [False, None])
 async def test_no_connection_means_not_sent(connects, monkeypatch):
-    """An endpoint is gone, or cut off so that nothing comes back."""
+    """An endpoint does not listen, or drops attempts to connect."""
     monkeypatch.setattr(web, "CONNECT_TIMEOUT_S", 0.2)
     with contextlib.ExitStack() as stack:
         server = stack.enter_context(socket.socket())
         server.bind(("127.0.0.1", 0))
         if connects is None:
-            # A queue that is full drops whoever wants to connect.
+            # A full backlog drops further attempts to connect.
             server.listen(0)
             for _ in range(4):
                 waiting = stack.enter_context(socket.socket())
@@ -156,17 +159,17 @@
             client = endpoints.Endpoints(
                 session=session, metrics=metrics.Metrics()
             )
-            whole = await client.call(endpoint, new_call(1), timeout=30)
+            unary = await client.call(endpoint, new_call(1), timeout=30)
             stream = client.stream(endpoint, new_call(2), timeout=30)
-            (broken,) = [item async for item in stream]
-    assert (whole.kind, whole.sent) == (REFUSED, False)
-    assert (broken.kind, broken.sent) == (REFUSED, False)
+            (streamed,) = [item async for item in stream]
+    assert (unary.kind, unary.sent) == (REFUSED, False)
+    assert (streamed.kind, streamed.sent) == (REFUSED, False)
 
 
 async def test_cancel_reaches_the_endpoint():
     async with client_of("pool", {}) as (client, endpoint):
         await endpoints.cancel_in_background(client, endpoint, new_call(1))
-        while endpoints._cancels:
+        while endpoints._cancel_tasks:
             await endpoints.asyncio.sleep(0.01)
         counts = await client.request(endpoint, "GET", "/counts", timeout=5)
     assert counts.body["cancelled"] == 1
--- a/sycamoreshed/adapters/tests/test_engines.py
+++ b/sycamoreshed/adapters/tests/test_engines.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of each fault of an engine's control calls."""
+"""Results of the adapter for each fault of an engine's control calls."""
 
 import pytest
 
@@ -13,8 +13,9 @@
 FAILED = kinds.Kind.STAGE_FAILED
 TARGET = {"model": "m", "version": "1", "adapters": [], "role": "both"}
 ORDER = {"fence": 5, "config": 3, "target": TARGET}
-# Faults of the proxy, of the stand-in, kind of a look, outcome of an
-# order (kind and whether it may take effect), orders the engine took.
+# Faults of the proxy and of the stand-in; failure kind of a state read;
+# outcome of an order (kind, and whether it may take effect); number of
+# orders the engine accepted (None: either).
 FAULTS = {
     "none": ({}, {}, None, True, 1),
     "refused": ({"refuse": True}, {}, REFUSED, (REFUSED, True), 0),
@@ -53,28 +54,28 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 async def test_each_fault_has_one_outcome(name):
-    """An engine is away, slow, or takes an order without answering.
+    """An engine is unavailable, slow, or accepts an order without answering.
 
-    An order taken for lost could still arrive, and a lease released by
-    then would let the next holder's order be overwritten.
+    An order that is counted as lost could still arrive; if the lease were
+    released by then, it could overwrite an order of the next holder.
     """
-    in_proxy, in_engine, look, order, taken = FAULTS[name]
+    proxy_faults, engine_faults, read_kind, order, accepted = FAULTS[name]
     async with serving.running("engine") as (session, proxy, fault):
         client = _client(session)
         endpoint = _endpoint(proxy.address)
-        for key, value in in_proxy.items():
+        for key, value in proxy_faults.items():
             setattr(proxy, key, value)
-        fault.spec = dict(in_engine)
+        fault.spec = dict(engine_faults)
         state = await client.state(endpoint, timeout=0.3)
         result = await _order(client, endpoint)
-        for key in in_proxy:
+        for key in proxy_faults:
             setattr(proxy, key, 0)
         fault.spec = {}
         after = await client.state(endpoint, timeout=10.0)
-    assert getattr(state, "kind", None) == look
+    assert getattr(state, "kind", None) == read_kind
     assert result == order
     possible = {None: (0, 5), 1: (5,), 0: (0,)}
-    assert after.fence in possible[taken]
+    assert after.fence in possible[accepted]
 
 
 @pytest.mark.parametrize("checks", [True, False])
@@ -91,11 +92,11 @@
     assert (state.loaded or state.loading) == (TARGET if checks else None)
 
 
-async def test_order_does_not_leave_once_the_lease_lapsed():
-    """The holder is paused between deciding on an order and sending it.
+async def test_order_is_not_sent_after_the_lease_expired():
+    """The lease holder is paused between deciding on an order and sending it.
 
-    Without the last question its order would arrive after those of the
-    next holder, and an engine that ignores numbers would take it.
+    Without the last check its order would arrive after those of the next
+    holder, and an engine that ignores fencing numbers would accept it.
     """
     async with serving.running("engine") as (session, proxy, _):
         client = _client(session)
@@ -107,8 +108,8 @@
 
 
 @pytest.mark.parametrize("body", [None, [], {}, {"loaded": 3}, "x"])
-async def test_answer_that_is_no_state(body):
-    reply = engines._checked(engines.web.Reply(200, body, 0), engines.State)
+async def test_answer_that_is_not_a_state_is_a_failure(body):
+    reply = engines._convert(engines.web.Reply(200, body, 0), engines.State)
     assert reply.kind is FAILED
 
 
@@ -118,15 +119,15 @@
         endpoint = _endpoint(proxy.address)
         load = await client.load(endpoint, timeout=10.0)
         events = await client.cache_events(endpoint, after=0, timeout=10.0)
-        held = await client.kv_import(endpoint, "p", timeout=10.0)
-        told = await client.kv_export(endpoint, "p", timeout=10.0)
+        imported = await client.kv_import(endpoint, "p", timeout=10.0)
+        exported = await client.kv_export(endpoint, "p", timeout=10.0)
         proxy.refuse = True
-        away = [
+        failures = [
             await client.load(endpoint, timeout=0.3),
             await client.cache_events(endpoint, after=0, timeout=0.3),
             await client.kv_export(endpoint, "p", timeout=0.3),
         ]
     assert load["loaded"] is None
     assert events == []
-    assert (held["imported"], told["held"]) == (True, True)
-    assert [item.kind for item in away] == [REFUSED] * 3
+    assert (imported["imported"], exported["held"]) == (True, True)
+    assert [item.kind for item in failures] == [REFUSED] * 3
--- a/sycamoreshed/adapters/tests/test_instancelist.py
+++ b/sycamoreshed/adapters/tests/test_instancelist.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of each fault of the instance list."""
+"""Results of the adapter for each fault of the instance list."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from sycamoreshed.adapters.tests import serving
 from sycamoreshed.errors import kinds
 
-AWAY = kinds.Kind.STORE_AWAY
+UNAVAILABLE = kinds.Kind.STORE_AWAY
 ITEM = {
     "name": "catalogue-1",
     "address": "127.0.0.1:9",
@@ -15,15 +15,15 @@
     "generation": 7,
 }
 LISTED = [instancelist.ListedInstance(**ITEM)]
-# Faults of the proxy and of the stand-in, the lag, and what is read.
+# Faults of the proxy and of the stand-in; the lag; the result of a read.
 FAULTS = {
     "none": ({}, {}, 0.0, LISTED),
-    "refused": ({"refuse": True}, {}, 0.0, AWAY),
-    "closed": ({}, {"down": True}, 0.0, AWAY),
-    "slow": ({"delay_s": 1.0}, {}, 0.0, AWAY),
-    "silent": ({"freeze": True}, {}, 0.0, AWAY),
-    "error": ({}, {"fail": 1.0}, 0.0, AWAY),
-    "answer lost": ({}, {"lose": 1.0}, 0.0, AWAY),
+    "refused": ({"refuse": True}, {}, 0.0, UNAVAILABLE),
+    "closed": ({}, {"down": True}, 0.0, UNAVAILABLE),
+    "slow": ({"delay_s": 1.0}, {}, 0.0, UNAVAILABLE),
+    "silent": ({"freeze": True}, {}, 0.0, UNAVAILABLE),
+    "error": ({}, {"fail": 1.0}, 0.0, UNAVAILABLE),
+    "answer lost": ({}, {"lose": 1.0}, 0.0, UNAVAILABLE),
     "stale read": ({}, {}, 3600.0, []),
 }
 
@@ -42,20 +42,21 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 async def test_each_fault_has_one_outcome(name):
-    """The list is away, slow or shows what was.
+    """The list is unavailable, slow or stale.
 
-    An error taken for an empty list would bring leavers back.
+    If an error were read as an empty list, the listed instances and their
+    leaving states would be lost.
     """
-    in_proxy, in_service, lag_s, expected = FAULTS[name]
+    proxy_faults, service_faults, lag_s, expected = FAULTS[name]
     running = serving.running("instances", lag_s=lag_s)
     async with running as (session, proxy, fault):
         await put(session, proxy.address, [ITEM])
-        for key, value in in_proxy.items():
+        for key, value in proxy_faults.items():
             setattr(proxy, key, value)
-        fault.spec = dict(in_service)
-        seconds = 0.3 if expected is AWAY else 10.0
-        found = await _client(session, proxy.address, seconds).read()
-    assert (found.kind if expected is AWAY else found) == expected
+        fault.spec = dict(service_faults)
+        seconds = 0.3 if expected is UNAVAILABLE else 10.0
+        result = await _client(session, proxy.address, seconds).read()
+    assert (result.kind if expected is UNAVAILABLE else result) == expected
 
 
 MALFORMED = [
@@ -67,8 +68,8 @@
 
 
 @pytest.mark.parametrize("items", MALFORMED)
-async def test_what_is_no_list_is_taken_for_away(items):
+async def test_answer_that_is_not_a_list_is_a_failure(items):
     async with serving.running("instances") as (session, proxy, _):
         await put(session, proxy.address, items)
-        found = await _client(session, proxy.address, 10.0).read()
-    assert found.kind is AWAY
+        result = await _client(session, proxy.address, 10.0).read()
+    assert result.kind is UNAVAILABLE
--- a/sycamoreshed/adapters/tests/test_objects.py
+++ b/sycamoreshed/adapters/tests/test_objects.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of each fault of the object store."""
+"""Results of the adapter for each fault of the object store."""
 
 import pytest
 
@@ -6,19 +6,31 @@
 from sycamoreshed.adapters.tests import serving
 from sycamoreshed.errors import kinds
 
-AWAY = kinds.Kind.STORE_AWAY
+UNAVAILABLE = kinds.Kind.STORE_AWAY
 OLD, NEW = {"n": 1}, {"n": 2}
-# Faults of the proxy and of the stand-in; what a read returns; what a put
-# returns; what is stored after (None: either).
+# Faults of the proxy and of the stand-in; result of a read; result of a
+# put; object stored afterwards (None: either).
 FAULTS = {
     "none": ({}, {}, OLD, True, NEW),
-    "refused": ({"refuse": True}, {}, AWAY, AWAY, OLD),
-    "closed": ({}, {"down": True}, AWAY, AWAY, OLD),
-    "slow": ({"delay_s": 1.0}, {}, AWAY, AWAY, None),
-    "silent": ({"freeze": True}, {}, AWAY, AWAY, None),
-    "error": ({}, {"fail": 1.0}, AWAY, AWAY, OLD),
-    "effect without answer": ({}, {"lose": 1.0}, AWAY, AWAY, NEW),
-    "answer swallowed": ({"lose_answers": -1}, {}, AWAY, AWAY, NEW),
+    "refused": ({"refuse": True}, {}, UNAVAILABLE, UNAVAILABLE, OLD),
+    "closed": ({}, {"down": True}, UNAVAILABLE, UNAVAILABLE, OLD),
+    "slow": ({"delay_s": 1.0}, {}, UNAVAILABLE, UNAVAILABLE, None),
+    "silent": ({"freeze": True}, {}, UNAVAILABLE, UNAVAILABLE, None),
+    "error": ({}, {"fail": 1.0}, UNAVAILABLE, UNAVAILABLE, OLD),
+    "effect without answer": (
+        {},
+        {"lose": 1.0},
+        UNAVAILABLE,
+        UNAVAILABLE,
+        NEW,
+    ),
+    "answer swallowed": (
+        {"lose_answers": -1},
+        {},
+        UNAVAILABLE,
+        UNAVAILABLE,
+        NEW,
+    ),
     "stale read": ({}, {"stale": 1.0}, {"n": 0}, True, NEW),
 }
 
@@ -29,32 +41,32 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 async def test_each_fault_has_one_outcome(name):
-    """The object store is refused, slow, silent or loses its answers.
+    """The object store refuses, is slow, does not answer or loses answers.
 
-    A snapshot taken for stored that is not would leave a starting
-    instance without a configuration.
+    If a snapshot were reported as stored although it was not, a starting
+    instance would have no configuration.
     """
-    in_proxy, in_service, read, put, after = FAULTS[name]
+    proxy_faults, service_faults, read, put, after = FAULTS[name]
     async with serving.running("objects") as (session, proxy, fault):
         client = _client(session, proxy.address, 10.0)
         assert await client.put("config/1", {"n": 0}) is True
         assert await client.put("config/1", OLD) is True
         client = _client(session, proxy.address)
-        for key, value in in_proxy.items():
+        for key, value in proxy_faults.items():
             setattr(proxy, key, value)
-        fault.spec = dict(in_service)
-        found = await client.get("config/1")
-        done = await client.put("config/1", NEW)
-        for key in in_proxy:
+        fault.spec = dict(service_faults)
+        read_result = await client.get("config/1")
+        put_result = await client.put("config/1", NEW)
+        for key in proxy_faults:
             setattr(proxy, key, 0)
         fault.spec = {}
-        held = await _client(session, proxy.address, 10.0).get("config/1")
-    assert (found.kind if read is AWAY else found) == read
-    assert (done.kind if put is AWAY else done) == put
-    if put is AWAY:
-        assert done.sent
+        stored = await _client(session, proxy.address, 10.0).get("config/1")
+    assert (read_result.kind if read is UNAVAILABLE else read_result) == read
+    assert (put_result.kind if put is UNAVAILABLE else put_result) == put
+    if put is UNAVAILABLE:
+        assert put_result.sent
     if after is not None:
-        assert held == after
+        assert stored == after
 
 
 async def test_absent_and_deleted_objects():
@@ -69,5 +81,5 @@
 
 async def test_connection_refused_means_not_sent():
     async with serving.running("objects") as (session, _, _):
-        done = await _client(session, "127.0.0.1:9").put("a", OLD)
-    assert (done.kind, done.sent) == (AWAY, False)
+        result = await _client(session, "127.0.0.1:9").put("a", OLD)
+    assert (result.kind, result.sent) == (UNAVAILABLE, False)
--- a/sycamoreshed/adapters/tests/test_pauses.py
+++ b/sycamoreshed/adapters/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""Answers that come while this process is paused."""
+"""Answers that arrive while this process is paused."""
 
 import asyncio
 import contextlib
@@ -15,17 +15,17 @@
 from testkit import builders
 
 TIMEOUT_S = 0.15
-ANSWERED_S = 0.05
+ANSWER_DELAY_S = 0.05
 PAUSE_S = 0.4
-TAKEN = b"{}"
+ACCEPTED = b"{}"
 HEAD = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
 
 @contextlib.asynccontextmanager
 async def paused_while_answered(body):
-    """Yield the address of a server, and pause once it has a request.
+    """Yield the address of a server; pause once it has received a request.
 
-    The server is another thread's, so that it answers during the pause.
+    The server runs in another thread, so that it answers during the pause.
     """
     server = socket.create_server(("127.0.0.1", 0))
     loop = asyncio.get_running_loop()
@@ -41,29 +41,29 @@
 
 
 def _answer(server, body, loop):
-    found, _ = server.accept()
-    with found:
-        found.recv(65536)
+    connection, _ = server.accept()
+    with connection:
+        connection.recv(65536)
         loop.call_soon_threadsafe(time.sleep, PAUSE_S)
-        time.sleep(ANSWERED_S)
-        found.sendall(HEAD + body)
+        time.sleep(ANSWER_DELAY_S)
+        connection.sendall(HEAD + body)
 
 
 def _endpoint(address):
-    (found,) = builders.config(
+    (endpoint,) = builders.config(
         {"one": builders.endpoint_spec(address)}
     ).endpoints["encoder"]
-    return found
+    return endpoint
 
 
-async def test_an_order_that_was_taken_is_not_counted_as_late():
-    """A holder that is paused for a moment must not take its order for lost.
+async def test_an_accepted_order_is_not_counted_as_late():
+    """A lease holder is paused while an engine accepts its order.
 
-    It would wait out the longest time of an order before the next step,
-    and the engine would be given the same order again.
+    If the order were counted as late, the holder would wait for the maximum
+    time of an order before the next step, and send the same order again.
     """
     async with (
-        paused_while_answered(TAKEN) as address,
+        paused_while_answered(ACCEPTED) as address,
         aiohttp.ClientSession() as session,
     ):
         client = engines.Engines(
@@ -79,10 +79,11 @@
     assert result is True
 
 
-async def test_a_peer_that_answered_is_not_taken_to_be_silent():
-    """An instance that is paused must not blame its peers for the pause.
+async def test_a_peer_that_answered_is_not_counted_as_unresponsive():
+    """An instance is paused while a peer answers its message.
 
-    It would hold them for dead, and send no request their way.
+    If the peer were recorded as unresponsive, it would be treated as dead
+    and get no requests.
     """
     message = messages.Message(
         name="b", boot=1, zone="north-a", base=0, last=0, ack=0, of=0
@@ -98,10 +99,11 @@
     assert result[0] == message
 
 
-async def test_a_token_that_came_during_a_pause_is_passed_on():
-    """An instance that is paused must not break a stream that goes on.
+async def test_a_token_that_arrives_during_a_pause_is_yielded():
+    """An instance is paused while an engine streams tokens.
 
-    Its engine would be blamed, and the tokens read again elsewhere.
+    If the stream were counted as broken, the engine would be recorded as at
+    fault, and the tokens would be read again from another engine.
     """
     line = {
         "request": "r",
@@ -124,11 +126,11 @@
             deadline_ms=1000.0,
             payload="x",
         )
-        got = [
+        items = [
             chunk
             async for chunk in client.stream(
                 _endpoint(address), call, timeout=TIMEOUT_S
             )
         ]
-    assert not isinstance(got[0], kinds.Failure)
-    assert got[0].token == "word "
+    assert not isinstance(items[0], kinds.Failure)
+    assert items[0].token == "word "
--- a/sycamoreshed/adapters/tests/test_table.py
+++ b/sycamoreshed/adapters/tests/test_table.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of each fault of the table service."""
+"""Results of the adapter for each fault of the table service."""
 
 import pytest
 
@@ -6,39 +6,39 @@
 from sycamoreshed.adapters.tests import serving
 from sycamoreshed.errors import kinds
 
-AWAY = kinds.Kind.STORE_AWAY
+UNAVAILABLE = kinds.Kind.STORE_AWAY
 OLD = tables.Row("a", {"n": 1}, 1)
 NEW = tables.Row("a", {"n": 2}, 2)
-# Faults of the proxy, faults of the stand-in, what each call returns
-# ("away" and whether a write may have taken effect), and whether the
-# write did; None if it may still do so, as bytes held up on the way do
-# when the silence ends.
+# Faults of the proxy and of the stand-in; result of a read; result of a
+# write (for a failure, whether the write may have taken effect); whether
+# the write did.  None if it still may, as when delayed bytes arrive after
+# the proxy forwards again.
 FAULTS = {
     "none": ({}, {}, OLD, "written", True),
-    "refused": ({"refuse": True}, {}, AWAY, (AWAY, True), False),
-    "closed": ({}, {"down": True}, AWAY, (AWAY, True), False),
-    "slow": ({"delay_s": 1.0}, {}, AWAY, (AWAY, True), None),
-    "silent": ({"freeze": True}, {}, AWAY, (AWAY, True), None),
-    "error": ({}, {"fail": 1.0}, AWAY, (AWAY, True), False),
+    "refused": ({"refuse": True}, {}, UNAVAILABLE, (UNAVAILABLE, True), False),
+    "closed": ({}, {"down": True}, UNAVAILABLE, (UNAVAILABLE, True), False),
+    "slow": ({"delay_s": 1.0}, {}, UNAVAILABLE, (UNAVAILABLE, True), None),
+    "silent": ({"freeze": True}, {}, UNAVAILABLE, (UNAVAILABLE, True), None),
+    "error": ({}, {"fail": 1.0}, UNAVAILABLE, (UNAVAILABLE, True), False),
     "effect without answer": (
         {},
         {"lose": 1.0},
-        AWAY,
-        (AWAY, True),
+        UNAVAILABLE,
+        (UNAVAILABLE, True),
         True,
     ),
     "answer swallowed": (
         {"lose_answers": -1},
         {},
-        AWAY,
-        (AWAY, True),
+        UNAVAILABLE,
+        (UNAVAILABLE, True),
         True,
     ),
     "late effect": (
         {},
         {"late": 1.0, "late_s": 0.05, "paths": ["/transact"]},
         OLD,
-        (AWAY, True),
+        (UNAVAILABLE, True),
         None,
     ),
 }
@@ -56,29 +56,29 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 async def test_each_fault_has_one_outcome(name):
-    """The table service is refused, slow, silent or loses its answers.
+    """The table service refuses, is slow, does not answer or loses answers.
 
-    A write that is told as done or as not done, when nobody knows,
-    becomes a ballot counted twice or not at all.
+    If a write with an unknown outcome were reported as done or as not
+    done, an operation such as a ballot would count not at all or twice.
     """
-    in_proxy, in_service, read, write, effect = FAULTS[name]
+    proxy_faults, service_faults, read, write, effect = FAULTS[name]
     async with serving.running("table") as (session, proxy, fault):
         client = _client(session, proxy.address)
         assert await client.write(tables.Write("a", {"n": 1}, 0))
-        for key, value in in_proxy.items():
+        for key, value in proxy_faults.items():
             setattr(proxy, key, value)
-        fault.spec = dict(in_service)
-        found = await client.read("a")
+        fault.spec = dict(service_faults)
+        read_result = await client.read("a")
         rows = await client.scan("")
         outcome = await _outcome(
             await client.write(tables.Write("a", {"n": 2}, 1))
         )
-        for key in in_proxy:
+        for key in proxy_faults:
             setattr(proxy, key, 0)
         fault.spec = {}
         after = await _client(session, proxy.address, 10.0).read("a")
-    assert (found.kind if read is AWAY else found) == read
-    assert (rows.kind if read is AWAY else rows[0]) == read
+    assert (read_result.kind if read is UNAVAILABLE else read_result) == read
+    assert (rows.kind if read is UNAVAILABLE else rows[0]) == read
     assert outcome == write
     possible = {None: (OLD, NEW), True: (NEW,), False: (OLD,)}
     assert after in possible[effect]
@@ -88,11 +88,11 @@
     async with serving.running("table") as (session, proxy, _):
         client = _client(session, "127.0.0.1:9")
         result = await client.write(tables.Write("a", 1, 0))
-    assert result.kind is AWAY
+    assert result.kind is UNAVAILABLE
     assert not result.sent
 
 
-async def test_stale_read_is_caught_by_the_conditional_write():
+async def test_stale_read_is_detected_by_the_conditional_write():
     async with serving.running("table") as (session, proxy, fault):
         client = _client(session, proxy.address)
         await client.write(tables.Write("a", {"n": 1}, 0))
@@ -116,10 +116,10 @@
     assert row == tables.Row("b", None, tables.ABSENT)
 
 
-async def test_call_beyond_the_limit_had_no_effect():
+async def test_call_over_the_rate_limit_has_no_effect():
     async with serving.running("table", writes_per_s=0) as (session, proxy, _):
         client = _client(session, proxy.address)
         result = await client.write(tables.Write("a", 1, 0))
         row = await client.read("a")
-    assert (result.kind, result.sent) == (AWAY, False)
+    assert (result.kind, result.sent) == (UNAVAILABLE, False)
     assert row.version == tables.ABSENT
--- a/sycamoreshed/adapters/tests/test_web.py
+++ b/sycamoreshed/adapters/tests/test_web.py
@@ -12,7 +12,7 @@
 
 
 async def echo_twice(reader, writer):
-    """Answer each request with its body, two times."""
+    """Answer each request with its body, twice."""
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
@@ -20,17 +20,18 @@
             body = await reader.readexactly(size)
             writer.write(ANSWER % (size, body))
             await writer.drain()
-            # Lets the first answer be taken and the connection given back.
+            # Lets the client read the first answer and return the connection
+            # to its pool.
             await asyncio.sleep(0.01)
             writer.write(ANSWER % (size, body))
     writer.close()
 
 
-async def test_answer_that_comes_twice_is_not_the_next_ones():
-    """The second copy of an answer comes when nobody waits for it.
+async def test_repeated_answer_is_not_read_as_the_next_one():
+    """The second copy of an answer arrives while the connection is idle.
 
-    The next request on that connection would be told what the one before
-    was told, such as that its write took effect.
+    The next request on that connection would get the answer to the one
+    before, such as that its write took effect.
     """
     server = await asyncio.start_server(echo_twice, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
@@ -44,14 +45,14 @@
             async with asyncio.timeout(20):
                 while not all(
                     protocol.should_close
-                    for waiting in connector._conns.values()
-                    for protocol, _ in waiting
+                    for idle in connector._conns.values()
+                    for protocol, _ in idle
                 ):
                     await asyncio.sleep(0.005)
     server.close()
 
 
-async def test_connection_is_reused_when_nothing_came():
+async def test_connection_without_unread_data_is_reused():
     opened = []
 
     async def echo(reader, writer):
--- a/sycamoreshed/adapters/web.py
+++ b/sycamoreshed/adapters/web.py
@@ -1,4 +1,4 @@
-"""The one HTTP client of a daemon, and JSON over it."""
+"""The HTTP client session of a daemon, and JSON requests over it."""
 
 import functools
 import typing
@@ -22,33 +22,34 @@
     "client_timeout",
 ]
 
-# Errors raised before a request's first byte can have left.
+# Errors raised before the first byte of a request can have been sent.
 NOT_SENT_ERRORS = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
     aiohttp.InvalidURL,
 )
 TRANSPORT_ERRORS = (aiohttp.ClientError, OSError)
-# A connection that is not open by then is taken for a network partition;
-# nothing was sent, so the time left can go to another endpoint.
+# A connection that takes longer to open counts as a network partition;
+# nothing was sent, so the remaining time can be spent on another endpoint.
 CONNECT_TIMEOUT_S = 1.0
-# aiohttp rounds timeouts above its threshold up to whole seconds, which
-# would let a call outlive its request's deadline.
+# aiohttp rounds timeouts above this threshold up to whole seconds, which
+# would let a call outlast its request's deadline; no timeout is as long.
 CEIL_THRESHOLD_S = 1e9
 MAX_CACHED_URLS = 4096
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class Connector(aiohttp.TCPConnector):
-    """Connections, reused only if nothing came on them while idle.
+    """Connector that reuses a connection only if no data came while idle.
 
     Notes
     -----
-    An answer that comes twice, the second time after its connection was
-    given back, would be taken for the answer to the next request on that
-    connection, and each answer after it for that of the next one.  Stage
-    calls name what they answer, so theirs would all be dropped as stray;
-    of other requests nobody would notice.
+    If an answer is sent twice, and the second copy arrives after the
+    connection was returned to the pool, it would be read as the answer to
+    the next request on that connection, and each later answer as that of
+    the request after it.  Answers to stage calls carry the ids of their
+    call, so they would all be dropped as stray; for other requests the
+    error would go unnoticed.
     """
 
     async def _get(self, key, traces):
@@ -60,7 +61,7 @@
 
 
 class Reply(typing.NamedTuple):
-    """An HTTP answer, whole.
+    """A full HTTP answer.
 
     Parameters
     ----------
@@ -80,7 +81,7 @@
 
 
 async def fetch(session, method, address, path, *, timeout, body=None):
-    """Send one request and return the whole answer.
+    """Send one request and return the full answer.
 
     Parameters
     ----------
@@ -90,16 +91,16 @@
         ``IP:port``.
     path : str
     timeout : float
-        Seconds for all of it.
+        Seconds, from connecting to the end of the answer.
     body : object, optional
         Sent as JSON.
 
     Returns
     -------
     Reply or Failure
-        A failure is of kind ``late`` if the time passed, else of kind
-        ``refused``; its ``sent`` tells whether the request may have
-        reached the other side.
+        A failure is of kind ``late`` if the time limit passed, else of
+        kind ``refused``; its ``sent`` tells whether the request may have
+        reached the server.
     """
     data = b"" if body is None else msgspec.json.encode(body)
     try:
@@ -111,8 +112,8 @@
                 data=data,
                 headers=JSON_HEADERS,
                 timeout=client_timeout(None),
-                # A redirect of the kinds 307 and 308 would make aiohttp
-                # send a call that may not be repeated a second time.
+                # Redirects with status 307 or 308 would make aiohttp send
+                # the request again, even one that must not be repeated.
                 allow_redirects=False,
             ) as response,
         ):
@@ -131,12 +132,12 @@
 
 @functools.lru_cache(maxsize=MAX_CACHED_URLS)
 def url_of(address, path):
-    """Return the URL of a path; parsing it anew costs each call."""
+    """Return the URL of a path; cached to save parsing it in each call."""
     return yarl.URL(f"http://{address}{path}")
 
 
 def client_timeout(seconds):
-    """Return the timeout of a call that may take `seconds`, or any time."""
+    """Return aiohttp timeouts with a total of `seconds`, or no total."""
     return aiohttp.ClientTimeout(
         total=None if seconds is None else max(seconds, 0.001),
         sock_connect=CONNECT_TIMEOUT_S,
@@ -145,7 +146,7 @@
 
 
 def describe(error):
-    """Return a short text for an exception."""
+    """Return the type and the message of an exception."""
     return f"{type(error).__name__}: {error}"
 
 
@@ -155,8 +156,8 @@
 
     Notes
     -----
-    Connections leave from the instance's own address, so that what is
-    between instances can tell where they come from.
+    Connections are bound to the instance's own address, so that an
+    intermediary can identify the instance that opened them.
     """
     host, _, _ = core.settings.control.rpartition(":")
     connector = Connector(
@@ -166,7 +167,7 @@
     )
     async with aiohttp.ClientSession(
         connector=connector,
-        # Endpoints set no cookies that another caller's call may carry.
+        # A cookie set by an endpoint would be sent with other callers' calls.
         cookie_jar=aiohttp.DummyCookieJar(),
         skip_auto_headers=("Accept", "Accept-Encoding", "User-Agent"),
     ) as session:
