--- a/sycamoreshed/__main__.py
+++ b/sycamoreshed/__main__.py
@@ -10,9 +10,9 @@
 
     Notes
     -----
-    The forwarding daemon is started before the command line is imported:
-    instances pay for memory, and the parser of commands and all that the
-    other commands need would take 15 MB for as long as it runs.
+    The gateway daemon starts without importing the command line, to save
+    memory: the command parser and the modules of the other commands would
+    take 15 MB for as long as the daemon runs.
     """
     if len(sys.argv) == 3 and sys.argv[1] == "gateway":
         from sycamoreshed.gateway import daemon
--- a/sycamoreshed/cli/client.py
+++ b/sycamoreshed/cli/client.py
@@ -1,4 +1,4 @@
-"""Asking an instance over its control address, for the commands."""
+"""Client of the control address of an instance, for the commands."""
 
 import asyncio
 import enum
@@ -18,9 +18,9 @@
     "AsJson",
     "Control",
     "Exit",
-    "ask",
     "fetch",
-    "show",
+    "print_body",
+    "send_and_print",
 ]
 
 TIMEOUT_S = 10.0
@@ -49,14 +49,14 @@
 )
 
 
-def ask(control, method, path, *, body=None, as_json=False):
-    """Send one request, print the answer, return the exit code."""
+def send_and_print(control, method, path, *, body=None, as_json=False):
+    """Send one request, print its response and return the exit code."""
     schema.check_address(control, source="--control", path="$")
     reply = asyncio.run(fetch(control, method, path, body))
     if isinstance(reply, kinds.Failure):
         print(reply.reason, file=sys.stderr)
         return Exit.UNREACHABLE
-    show(reply.body, as_json)
+    print_body(reply.body, as_json)
     if reply.status < 400:
         return Exit.DONE
     if reply.body.get("outcome") == kinds.Outcome.OUTCOME_UNKNOWN:
@@ -65,15 +65,15 @@
 
 
 async def fetch(control, method, path, body=None):
-    """Send one request; return `Reply` or `Failure`."""
+    """Send one request; return its `Reply`, or a `Failure`."""
     async with aiohttp.ClientSession() as session:
         return await web.fetch(
             session, method, control, path, timeout=TIMEOUT_S, body=body
         )
 
 
-def show(body, as_json):
-    """Print an answer, as JSON or a line for each key."""
+def print_body(body, as_json):
+    """Print a response body, as JSON or as one line for each key."""
     if as_json:
         print(json.dumps(body))
         return
--- a/sycamoreshed/cli/main.py
+++ b/sycamoreshed/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: the daemon and the operators' client."""
+"""Command line: the daemons and the commands for operators."""
 
 import contextlib
 import pathlib
@@ -11,9 +11,9 @@
 from sycamoreshed.cli import note
 from sycamoreshed.entry import daemon
 from sycamoreshed import exceptions
-from sycamoreshed.gateway import daemon as forwarding
-from sycamoreshed.gateway import settings as forwarding_settings
-from sycamoreshed.observe import explain as explaining
+from sycamoreshed.gateway import daemon as gateway_daemon
+from sycamoreshed.gateway import settings as gateway_settings
+from sycamoreshed.observe import explain as explanation
 from sycamoreshed.settings import schema
 
 __all__ = ["app", "run"]
@@ -56,7 +56,7 @@
     settings
         JSON file; docs/OPERATIONS.md lists its keys.
     """
-    return forwarding.run(settings)
+    return gateway_daemon.run(settings)
 
 
 @app.command
@@ -79,12 +79,14 @@
         return client.Exit.INVALID
     with contextlib.ExitStack() as stack:
         files = [stack.enter_context(open(log)) for log in logs]
-        lines = explaining.read(files)
+        lines = explanation.read_events(files)
         if failed:
-            for cause, count, example in explaining.failures(lines):
+            for cause, count, example in explanation.count_failures(lines):
                 print(f"{count} (such as {example}): {cause}")
             return client.Exit.DONE
-        text = explaining.tell(explaining.trace(lines, request[0]))
+        text = explanation.format_trace(
+            explanation.trace_request(lines, request[0])
+        )
     print("\n".join(text))
     return client.Exit.DONE
 
@@ -106,7 +108,7 @@
         Whether it is one of an instance that forwards by route.
     """
     if gateway:
-        forwarding_settings.load(file)
+        gateway_settings.load(file)
     else:
         daemon.check(schema.load(file), source=str(file))
     print(f"{file}: valid")
@@ -115,17 +117,21 @@
 @app.command
 def status(*, control: client.Control, as_json: client.AsJson = False):
     """Show what an instance is and runs."""
-    return client.ask(control, "GET", "/control/status", as_json=as_json)
+    return client.send_and_print(
+        control, "GET", "/control/status", as_json=as_json
+    )
 
 
 @app.command
 def drain(*, control: client.Control, as_json: client.AsJson = False):
     """Begin the graceful shutdown of an instance."""
-    return client.ask(control, "POST", "/control/drain", as_json=as_json)
+    return client.send_and_print(
+        control, "POST", "/control/drain", as_json=as_json
+    )
 
 
 def run():
-    """Run the command line and exit."""
+    """Run the command line and exit with the code of the command."""
     try:
         code = app(result_action="return_value")
     except exceptions.SycamoreshedError as err:
--- a/sycamoreshed/cli/note.py
+++ b/sycamoreshed/cli/note.py
@@ -1,4 +1,4 @@
-"""Commands on release notes."""
+"""Commands for release notes."""
 
 import pathlib
 import urllib.parse
@@ -11,7 +11,7 @@
 
 __all__ = ["app"]
 
-NOTES = "/control/notes"
+NOTES_PATH = "/control/notes"
 
 app = cyclopts.App(name="note", help="Check and apply release notes.")
 
@@ -27,10 +27,10 @@
     """Check a release note, with --control also against what runs."""
     note = _read_note(file)
     if control is None:
-        client.show({"valid": note["id"]}, as_json)
+        client.print_body({"valid": note["id"]}, as_json)
         return client.Exit.DONE
-    return client.ask(
-        control, "POST", f"{NOTES}/check", body=note, as_json=as_json
+    return client.send_and_print(
+        control, "POST", f"{NOTES_PATH}/check", body=note, as_json=as_json
     )
 
 
@@ -44,7 +44,9 @@
 ):
     """Apply a release note."""
     note = _read_note(file)
-    return client.ask(control, "POST", NOTES, body=note, as_json=as_json)
+    return client.send_and_print(
+        control, "POST", NOTES_PATH, body=note, as_json=as_json
+    )
 
 
 @app.command
@@ -56,7 +58,9 @@
 ):
     """Show the configuration in force, or the one of a version."""
     query = "" if at is None else f"?at={at}"
-    return client.ask(control, "GET", f"{NOTES}/show{query}", as_json=as_json)
+    return client.send_and_print(
+        control, "GET", f"{NOTES_PATH}/show{query}", as_json=as_json
+    )
 
 
 @app.command
@@ -67,8 +71,8 @@
     as_json: client.AsJson = False,
 ):
     """Show the last accepted notes, who wrote them and when."""
-    path = f"{NOTES}/history?limit={limit}"
-    return client.ask(control, "GET", path, as_json=as_json)
+    path = f"{NOTES_PATH}/history?limit={limit}"
+    return client.send_and_print(control, "GET", path, as_json=as_json)
 
 
 @app.command
@@ -82,8 +86,8 @@
     query = ""
     if note_id is not None:
         query = "?" + urllib.parse.urlencode({"id": note_id})
-    path = f"{NOTES}/status{query}"
-    return client.ask(control, "GET", path, as_json=as_json)
+    path = f"{NOTES_PATH}/status{query}"
+    return client.send_and_print(control, "GET", path, as_json=as_json)
 
 
 def _read_note(file):
--- a/sycamoreshed/cli/tests/test_main.py
+++ b/sycamoreshed/cli/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The command line, run as operators run it."""
+"""The command line, run as a separate process."""
 
 import asyncio
 import json
@@ -11,9 +11,9 @@
 from testkit import wiredata
 
 PLATFORM = dict.fromkeys(("table", "objects", "instances"), "127.0.0.1:9")
-AT_A_TIME = 3
+MAX_PROCESSES = 3
 
-# Change to valid settings, path named, words of what was expected.
+# Change to valid settings, path in the error and part of its text.
 BAD_SETTINGS = [
     ({"instnce": "a"}, "$.instnce", "unknown key; expected one of: advertise"),
     ({"instance": 3}, "$.instance", "Expected `str`, got `int`"),
@@ -32,7 +32,7 @@
 
 
 async def run(*args):
-    """Run the program; return exit code, output and errors."""
+    """Run the program; return its exit code, output and error output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -46,18 +46,18 @@
 
 
 async def run_all(calls):
-    """Run the program with each list of arguments, few at a time."""
-    gate = asyncio.Semaphore(AT_A_TIME)
+    """Run the program with each list of arguments, few concurrently."""
+    semaphore = asyncio.Semaphore(MAX_PROCESSES)
 
-    async def one(args):
-        async with gate:
+    async def run_one(args):
+        async with semaphore:
             return await run(*args)
 
-    return await asyncio.gather(*(one(args) for args in calls))
+    return await asyncio.gather(*(run_one(args) for args in calls))
 
 
-def write(folder, name, **changes):
-    """Write a settings file; a change to ``...`` leaves a key out."""
+def write_settings(folder, name, **changes):
+    """Write a settings file; a change to ``...`` omits the key."""
     document = builders.settings_document(
         PLATFORM, public="127.0.0.1:80", control="127.0.0.1:81"
     )
@@ -72,9 +72,9 @@
 
 
 async def test_settings_errors_are_one_line(tmp_path):
-    """An operator mistypes a setting; the daemon must not guess."""
+    """A setting is mistyped; the daemon must not guess its value."""
     files = [
-        write(tmp_path, f"{index}.json", **change)
+        write_settings(tmp_path, f"{index}.json", **change)
         for index, (change, _, _) in enumerate(BAD_SETTINGS)
     ]
     broken = tmp_path / "broken.json"
@@ -96,14 +96,14 @@
         assert words in err
 
 
-async def test_serve_refuses_the_same(tmp_path):
-    bad = write(tmp_path, "bad.json", slots=0)
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        used = f"127.0.0.1:{taken.getsockname()[1]}"
-        busy = write(tmp_path, "busy.json", control=used)
-        good = write(tmp_path, "good.json")
+async def test_serve_rejects_bad_settings(tmp_path):
+    bad = write_settings(tmp_path, "bad.json", slots=0)
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        used = f"127.0.0.1:{listener.getsockname()[1]}"
+        busy = write_settings(tmp_path, "busy.json", control=used)
+        good = write_settings(tmp_path, "good.json")
         results = await run_all(
             [
                 ["serve", "--settings", bad],
@@ -120,14 +120,14 @@
     assert results[5][1] == f"{good}: valid\n"
 
 
-async def test_commands_name_an_instance_that_is_away():
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        away = f"127.0.0.1:{free.getsockname()[1]}"
+async def test_commands_fail_if_instance_is_unreachable():
+    with socket.socket() as unused:
+        unused.bind(("127.0.0.1", 0))
+        unreachable = f"127.0.0.1:{unused.getsockname()[1]}"
         results = await run_all(
             [
-                ["status", "--control", away],
-                ["drain", "--control", away, "--json"],
+                ["status", "--control", unreachable],
+                ["drain", "--control", unreachable, "--json"],
                 ["status", "--control", "localhost:1"],
             ]
         )
@@ -149,7 +149,7 @@
         assert code in text
 
 
-async def test_settings_of_a_gateway_are_checked(tmp_path):
+async def test_gateway_settings_are_checked(tmp_path):
     good = tmp_path / "good.json"
     good.write_text(json.dumps(wiredata.settings()))
     bad = tmp_path / "bad.json"
@@ -161,16 +161,16 @@
     assert f"{bad}: $.ready: expected an IP:port address" in results[1][2]
 
 
-async def test_a_gateway_with_bad_settings_does_not_start(tmp_path):
+async def test_gateway_with_bad_settings_does_not_start(tmp_path):
     bad = tmp_path / "bad.json"
     bad.write_text(json.dumps(wiredata.settings(zones="x")))
-    code, _, told = await run("gateway", str(bad))
+    code, _, err = await run("gateway", str(bad))
     assert code == 2
-    assert f"{bad}: $.zones: " in told
+    assert f"{bad}: $.zones: " in err
 
 
-async def test_a_request_is_explained_from_logs(tmp_path):
-    """The id and the logs of two instances are all an operator has."""
+async def test_request_is_explained_from_logs(tmp_path):
+    """An operator has only a request's id and the logs of two instances."""
     lines = [
         {"t": 1.0, "at": "e1", "event": "configuration", "version": 7},
         {"t": 2.0, "at": "e1", "event": "admitted", "request": "r"},
@@ -181,16 +181,16 @@
     logs = []
     for name in ("e1", "e2"):
         log = tmp_path / f"{name}.log"
-        own = [line for line in lines if line["at"] == name]
-        log.write_text("".join(json.dumps(line) + "\n" for line in own))
+        own_lines = [line for line in lines if line["at"] == name]
+        log.write_text("".join(json.dumps(line) + "\n" for line in own_lines))
         logs.append(str(log))
     results = await run_all(
         [("explain", "r", *logs), ("explain", "--failed", *logs), ("explain",)]
     )
-    (code, told, _), (_, counted, _), (wrong, _, _) = results
+    (code, explained, _), (_, counted, _), (usage_code, _, _) = results
     assert code == 0
-    assert told.startswith("e1 believed: configuration 7 for 1.0 s")
-    assert "+0.500 s e2 batch" in told
-    assert "could not have been done in time" in told
+    assert explained.startswith("e1 believed: configuration 7 for 1.0 s")
+    assert "+0.500 s e2 batch" in explained
+    assert "could not have been done in time" in explained
     assert counted.startswith("1 (such as r): its stages")
-    assert wrong == 2
+    assert usage_code == 2
--- a/sycamoreshed/observe/events.py
+++ b/sycamoreshed/observe/events.py
@@ -1,6 +1,6 @@
-"""All events that the journal writes: name, class, fields, when.
+"""Table of the journal's events: name, class, fields and condition.
 
-docs/OPERATIONS.md holds this table, generated from here.
+The table in docs/OPERATIONS.md is generated from this one.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class EventClass(enum.IntEnum):
-    """How telling an event is; lower ones are dropped first."""
+    """Importance of an event; lower classes are dropped first."""
 
     DETAIL = 0
     DECISION = 1
@@ -19,14 +19,15 @@
 
 
 class Event(typing.NamedTuple):
-    """One kind of line.
+    """One kind of event in the journal.
 
     Parameters
     ----------
     event_class : EventClass
     fields : str
-        Names of the fields, with units.
+        Names of the fields, separated by commas.
     when : str
+        Condition under which the event is written.
     """
 
     event_class: EventClass
--- a/sycamoreshed/observe/explain.py
+++ b/sycamoreshed/observe/explain.py
@@ -1,7 +1,7 @@
-"""Tells from the logs of instances what became of a request, and why.
+"""Explains from the logs of instances how a request ended, and why.
 
-Logs are read line by line and may be large: only the lines of the request
-and the last thing each instance believed are kept.
+Logs may be large and are read line by line: only the lines of the request
+and the recorded state of each instance are kept.
 """
 
 import collections
@@ -9,12 +9,20 @@
 
 import msgspec
 
-__all__ = ["Belief", "Story", "cause_of", "failures", "read", "tell", "trace"]
+__all__ = [
+    "InstanceState",
+    "RequestTrace",
+    "cause_of",
+    "count_failures",
+    "format_trace",
+    "read_events",
+    "trace_request",
+]
 
-# Events that end a request without an endpoint's whole answer.
-ENDS = ("failed", "broken", "caller_left")
+# Events that end a request without a full answer of an endpoint.
+FAILURE_EVENTS = ("failed", "broken", "caller_left")
 
-# Why a request ended so, by the kind of its failure.
+# Printed cause of a `failed` event, by the kind of the failure.
 CAUSES = {
     "not-ready": "the instance knew no configuration yet: neither the store "
     "nor another instance had told it one since its start",
@@ -36,162 +44,181 @@
     "too-large": "its body is larger than the configuration allows",
     "bad-request": "its head or body cannot be read",
 }
-BROKEN = (
+BROKEN_CAUSE = (
     "the engine's answer ended before its end, and it could not go on "
     "elsewhere: the route does not allow it, or no attempt or budget was left"
 )
-LEFT = "the caller closed its connection before the answer was whole"
+CALLER_LEFT_CAUSE = (
+    "the caller closed its connection before the answer was whole"
+)
 
 
-class Belief(typing.NamedTuple):
-    """What an instance believed at a moment.
+class InstanceState(typing.NamedTuple):
+    """State of an instance at a point in time, as its log recorded it.
 
     Parameters
     ----------
     version : int or None
-        Of the configuration in force.
-    since : float or None
-        Unix time at which it came in force.
-    lost : dict of str to float
-        Tables that the store did not tell, and since when.
-    out : dict of str to str
-        Endpoints that were avoided, and why.
+        Version of the configuration in force.
+    version_since : float or None
+        Unix time at which it came into force.
+    lost_tables : dict of str to float
+        Tables that the store did not answer for, with the Unix time of the
+        last `store_lost` event.
+    avoided : dict of str to str
+        Endpoints that were avoided after failures, and why.
     """
 
     version: int | None = None
-    since: float | None = None
-    lost: dict = {}
-    out: dict = {}
+    version_since: float | None = None
+    lost_tables: dict = {}
+    avoided: dict = {}
+
 
+class RequestTrace(typing.NamedTuple):
+    """Lines of a request by time, and the state of each instance.
 
-class Story(typing.NamedTuple):
-    """The lines of a request in order, and beliefs at its first ones."""
+    The state is the one before the instance's first line with the request's
+    id in `request`; lines that only list it in `requests` do not count.
+    """
 
     lines: list
-    beliefs: dict
+    states: dict
 
 
-def read(files):
+def read_events(files):
     """Yield the decoded lines of open log files.
 
-    Lines that are no JSON, such as what a shell puts before them, are
-    read from their first brace on or left out.
+    A line is parsed from its first brace on, since a shell may put a prefix
+    before it.  Lines without a JSON object that has an `event` are skipped.
     """
     decoder = msgspec.json.Decoder()
-    for each in files:
-        for line in each:
+    for file in files:
+        for line in file:
             start = line.find("{")
             if start < 0:
                 continue
             try:
-                found = decoder.decode(line[start:])
+                event = decoder.decode(line[start:])
             except msgspec.DecodeError:
                 continue
-            if isinstance(found, dict) and "event" in found:
-                yield found
+            if isinstance(event, dict) and "event" in event:
+                yield event
 
 
-def trace(lines, request):
-    """Return the `Story` of a request.
+def trace_request(lines, request):
+    """Return the `RequestTrace` of a request.
 
     Parameters
     ----------
     lines : iterable of dict
-        Of each instance in order; instances may be mixed.
+        In order for each instance; instances may be interleaved.
     request : str
+        Id of the request.
     """
-    beliefs = collections.defaultdict(Belief)
-    found = []
-    held = {}
+    current = collections.defaultdict(InstanceState)
+    matching = []
+    states = {}
     for line in lines:
         name = line["at"]
         if line.get("request") == request:
-            held.setdefault(name, beliefs[name])
-            found.append(line)
+            states.setdefault(name, current[name])
+            matching.append(line)
         elif request in line.get("requests", ()):
-            found.append(line)
+            matching.append(line)
         else:
-            beliefs[name] = _learn(beliefs[name], line)
-    found.sort(key=lambda line: line["t"])
-    return Story(found, held)
+            current[name] = _apply_event(current[name], line)
+    matching.sort(key=lambda line: line["t"])
+    return RequestTrace(matching, states)
 
 
-def _learn(belief, line):
+def _apply_event(state, line):
     event = line["event"]
     if event == "start":
-        return Belief()
+        return InstanceState()
     if event == "configuration":
-        return belief._replace(version=line["version"], since=line["t"])
+        return state._replace(version=line["version"], version_since=line["t"])
     if event == "store_lost":
-        lost = {**belief.lost, line["table"]: line["t"]}
-        return belief._replace(lost=lost)
+        lost_tables = {**state.lost_tables, line["table"]: line["t"]}
+        return state._replace(lost_tables=lost_tables)
     if event == "store_back":
-        lost = {k: v for k, v in belief.lost.items() if k != line["table"]}
-        return belief._replace(lost=lost)
+        lost_tables = {
+            k: v for k, v in state.lost_tables.items() if k != line["table"]
+        }
+        return state._replace(lost_tables=lost_tables)
     if event == "endpoint_out":
-        return belief._replace(
-            out={**belief.out, line["endpoint"]: line["why"]}
+        return state._replace(
+            avoided={**state.avoided, line["endpoint"]: line["why"]}
         )
     if event == "endpoint_back":
-        out = {k: v for k, v in belief.out.items() if k != line["endpoint"]}
-        return belief._replace(out=out)
-    return belief
+        avoided = {
+            k: v for k, v in state.avoided.items() if k != line["endpoint"]
+        }
+        return state._replace(avoided=avoided)
+    return state
 
 
 def cause_of(line):
-    """Return in plain words why a line ended a request, or None."""
+    """Return why a line's event ended a request, or None if it did not."""
     if line["event"] == "failed":
         return CAUSES.get(line["kind"], line["why"])
-    return {"broken": BROKEN, "caller_left": LEFT}.get(line["event"])
+    return {"broken": BROKEN_CAUSE, "caller_left": CALLER_LEFT_CAUSE}.get(
+        line["event"]
+    )
 
 
-def tell(story):
-    """Return the text that explains a `Story`, as a list of lines."""
-    if not story.lines:
+def format_trace(trace):
+    """Return the explanation of a `RequestTrace` as a list of lines."""
+    if not trace.lines:
         return ["no line names this request"]
-    first = story.lines[0]["t"]
+    first_at = trace.lines[0]["t"]
     text = []
-    for name, belief in sorted(story.beliefs.items()):
-        text.append(_tell_belief(name, belief, first))
-    for line in story.lines:
+    for name, state in sorted(trace.states.items()):
+        text.append(_format_state(name, state, first_at))
+    for line in trace.lines:
         fields = " ".join(
             f"{key}={value}"
             for key, value in line.items()
             if key not in ("t", "at", "event", "request", "requests")
         )
-        after = line["t"] - first
-        text.append(f"+{after:.3f} s {line['at']} {line['event']}: {fields}")
-    causes = [each for each in map(cause_of, story.lines) if each]
+        elapsed_s = line["t"] - first_at
+        text.append(
+            f"+{elapsed_s:.3f} s {line['at']} {line['event']}: {fields}"
+        )
+    causes = [cause for cause in map(cause_of, trace.lines) if cause]
     if causes:
         text.append(f"cause: {causes[-1]}")
-    elif story.lines[-1]["event"] == "answered":
+    elif trace.lines[-1]["event"] == "answered":
         text.append("it was answered")
     return text
 
 
-def _tell_belief(name, belief, now):
-    if belief.version is None:
+def _format_state(name, state, now):
+    if state.version is None:
         return f"{name} knew no configuration"
-    parts = [f"configuration {belief.version} for {now - belief.since:.1f} s"]
-    for table, since in sorted(belief.lost.items()):
+    parts = [
+        f"configuration {state.version} for {now - state.version_since:.1f} s"
+    ]
+    for table, since in sorted(state.lost_tables.items()):
         parts.append(f"store lost for {table} for {now - since:.1f} s")
-    for endpoint, why in sorted(belief.out.items()):
+    for endpoint, why in sorted(state.avoided.items()):
         parts.append(f"{endpoint} avoided lately ({why})")
     return f"{name} believed: " + "; ".join(parts)
 
 
-def failures(lines):
-    """Return requests that ended without an endpoint's answer, by cause.
+def count_failures(lines):
+    """Count the lines that ended a request without a full answer.
 
     Returns
     -------
     list of (str, int, str)
-        Cause, how many, and one request's id; the most frequent first.
+        Cause, number of lines and the request id of the first one; the
+        most frequent cause first.
     """
     counts = collections.Counter()
     examples = {}
     for line in lines:
-        if line["event"] not in ENDS:
+        if line["event"] not in FAILURE_EVENTS:
             continue
         cause = cause_of(line)
         counts[cause] += 1
--- a/sycamoreshed/observe/journal.py
+++ b/sycamoreshed/observe/journal.py
@@ -1,8 +1,8 @@
-"""The structured log of a daemon: bounded, and never in the way.
+"""The structured log of a daemon: bounded and non-blocking.
 
 Each line is one event of `EVENTS`.  Lines go to standard output through a
-bounded buffer that is written without waiting; when nobody reads, lines are
-dropped by class, the least telling first, and counted.
+bounded buffer and non-blocking writes; when the reader falls behind, lines
+are dropped by class, the lowest class first, and counted.
 """
 
 import asyncio
@@ -17,24 +17,26 @@
 
 __all__ = ["Journal"]
 
-# What fits into the buffer before lines of a class are dropped.  The sum
-# bounds the memory a reader that has stopped can cost.
+# Size of the buffer, which bounds the memory used when the reader stops.
+# A line is dropped if the buffer is filled beyond the share of its class.
 BUFFER_BYTES = 1 << 20
-SHARES = {
+BUFFER_SHARES = {
     events.EventClass.DETAIL: 0.5,
     events.EventClass.DECISION: 0.75,
     events.EventClass.FAILURE: 0.95,
     events.EventClass.STATE: 1.0,
 }
-# Lines are gathered that long, so that a burst costs one system call.
-FLUSH_S = 0.25
-# The end of a failed request is on the log before its caller hears of it, but
-# for so long after another line was written: a process that dies or stalls
-# then would take along the line that tells why.
-SOON_S = 0.02
-# After a write that the reader did not take.
-BLOCKED_S = 0.5
-TELL_DROPPED_S = 5.0
+# Lines are buffered for this long, so that a burst costs one system call.
+FLUSH_INTERVAL_S = 0.25
+# Unless the reader is blocked, events of class FAILURE and above are written
+# at once, before the caller receives the answer: a process that dies or
+# stalls would otherwise lose the line that states the cause.  Within this
+# time after a flush they wait for its end and can still be lost, so that a
+# burst of failures costs few writes.
+MIN_FLUSH_GAP_S = 0.02
+# Delay after a write that the reader did not fully accept.
+BLOCKED_RETRY_S = 0.5
+DROPPED_REPORT_INTERVAL_S = 5.0
 
 _encode = msgspec.json.Encoder(enc_hook=str).encode
 
@@ -45,13 +47,13 @@
     Parameters
     ----------
     instance : str
-        Stands in each line.
+        Name of this instance, written in each line.
     fd : int
-        Open file to write to.
+        File descriptor to write to; non-blocking.
     clock : callable, optional
         Returns Unix time in seconds.
     min_class : EventClass, optional
-        Events below this class are left out.
+        Events below this class are not logged.
     """
 
     def __init__(
@@ -67,15 +69,15 @@
         self._clock = clock
         self._min_class = min_class
         self._lines = collections.deque()
-        self._bytes = 0
+        self._buffered_bytes = 0
         self._dropped = collections.Counter()
         self._timer = None
-        self._flushed_at = -SOON_S
+        self._flushed_at = -MIN_FLUSH_GAP_S
         self._is_blocked = False
 
     @property
     def dropped(self):
-        """Lines left out since the start, by class."""
+        """Number of lines dropped since the start, by class."""
         return self._dropped
 
     def write(self, name, **fields):
@@ -86,12 +88,12 @@
         name : str
             A key of `EVENTS`.
         **fields
-            As `EVENTS` lists them.
+            Fields that `EVENTS` lists for the event.
         """
         event_class = events.EVENTS[name].event_class
         if event_class < self._min_class:
             return
-        if self._bytes > BUFFER_BYTES * SHARES[event_class]:
+        if self._buffered_bytes > BUFFER_BYTES * BUFFER_SHARES[event_class]:
             self._dropped[event_class.name] += 1
             return
         line = _encode(
@@ -103,15 +105,15 @@
             }
         )
         self._lines.append(line + b"\n")
-        self._bytes += len(line) + 1
+        self._buffered_bytes += len(line) + 1
         if event_class >= events.EventClass.FAILURE:
             self._flush_soon()
         elif self._timer is None:
-            self._schedule(FLUSH_S)
+            self._schedule(FLUSH_INTERVAL_S)
 
     def flush(self):
-        """Write what the reader takes now; never wait for it."""
-        self._unschedule()
+        """Write what the reader accepts now, without waiting for it."""
+        self._cancel_timer()
         self._flushed_at = time.monotonic()
         self._is_blocked = False
         while self._lines:
@@ -121,56 +123,57 @@
             except BlockingIOError:
                 written = 0
             except OSError:
-                # The reader is gone for good: there is nobody to tell.
+                # The reader closed its end, so nobody could read a report
+                # of the loss.
                 self._lines.clear()
-                self._bytes = 0
+                self._buffered_bytes = 0
                 return
             self._lines.clear()
-            self._bytes = len(chunk) - written
-            if self._bytes:
+            self._buffered_bytes = len(chunk) - written
+            if self._buffered_bytes:
                 self._is_blocked = True
                 self._lines.append(chunk[written:])
-                self._schedule(BLOCKED_S)
+                self._schedule(BLOCKED_RETRY_S)
                 return
 
     def _flush_soon(self):
         if self._is_blocked:
             return
-        wait = self._flushed_at + SOON_S - time.monotonic()
-        if wait <= 0:
+        wait_s = self._flushed_at + MIN_FLUSH_GAP_S - time.monotonic()
+        if wait_s <= 0:
             self.flush()
             return
-        self._unschedule()
-        self._schedule(wait)
+        self._cancel_timer()
+        self._schedule(wait_s)
 
-    def _unschedule(self):
+    def _cancel_timer(self):
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _schedule(self, delay):
+    def _schedule(self, delay_s):
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             return
-        self._timer = loop.call_later(delay, self.flush)
+        self._timer = loop.call_later(delay_s, self.flush)
 
 
 @kernel.plugin("journal")
 async def journal(core):
     """Provide the journal of a daemon, on standard output."""
     os.set_blocking(1, False)
-    result = Journal(instance=core.settings.instance, fd=1)
-    core.spawn(_tell_dropped(result), name="journal dropped lines")
-    yield result
-    result.flush()
+    log = Journal(instance=core.settings.instance, fd=1)
+    core.spawn(_report_dropped(log), name="journal dropped lines")
+    yield log
+    log.flush()
 
 
-async def _tell_dropped(result):
-    told = 0
+async def _report_dropped(log):
+    reported = 0
     while True:
-        await asyncio.sleep(TELL_DROPPED_S)
-        count = sum(result.dropped.values())
-        if count > told:
-            result.write("lines_dropped", by_class=dict(result.dropped))
-            told = count
+        await asyncio.sleep(DROPPED_REPORT_INTERVAL_S)
+        count = sum(log.dropped.values())
+        if count > reported:
+            log.write("lines_dropped", by_class=dict(log.dropped))
+            reported = count
--- a/sycamoreshed/observe/logs.py
+++ b/sycamoreshed/observe/logs.py
@@ -1,4 +1,4 @@
-"""Logging: JSON lines, and one line for each decision."""
+"""Logging as JSON lines, with a rate-limited log of decisions."""
 
 import logging
 import sys
@@ -10,11 +10,11 @@
 
 __all__ = ["DecisionLog", "set_up"]
 
-# A burst must not turn into a flood of lines that slows what it reports
-# on; beyond this rate lines are counted and the count is logged instead.
+# Writing a line for each decision of a burst would slow down the requests.
+# Lines beyond this rate are counted, and the count is logged instead.
 LINES_PER_SECOND = 2000
 
-_KNOWN = {logging.WARNING, logging.ERROR, logging.CRITICAL}
+_STANDARD_LEVELS = {logging.WARNING, logging.ERROR, logging.CRITICAL}
 
 
 def _serialise(record):
@@ -33,18 +33,20 @@
     sys.stderr.write(_serialise(message.record) + "\n")
 
 
-class Forwarder(logging.Handler):
-    """Takes in what libraries log in the standard library's way.
+class LibraryHandler(logging.Handler):
+    """Forwards records of the standard `logging` module to the JSON log.
 
-    Without it their lines, tracebacks of many lines among them, would
-    stand in plain text between JSON lines and break what reads those.
+    Without it libraries would write plain text, tracebacks of many lines
+    included, between the JSON lines and break their parsers.
     """
 
     def emit(self, record):
-        """Log a record as one of our own."""
+        """Log a record as a JSON line, under the name of its library."""
         error = record.exc_info[1] if record.exc_info else None
-        known = logging.getLevelName(record.levelname) in _KNOWN
-        level = record.levelname if known else record.levelno
+        is_standard = (
+            logging.getLevelName(record.levelname) in _STANDARD_LEVELS
+        )
+        level = record.levelname if is_standard else record.levelno
         bound = logger.bind(library=record.name)
         bound.opt(exception=error).log(level, record.getMessage())
 
@@ -55,22 +57,23 @@
     Parameters
     ----------
     level : str
-        Least level that is logged; of libraries at least warnings.
+        Minimum level that is logged.  Records of libraries below WARNING
+        are left out at any level.
     """
     logger.remove()
     logger.add(_sink, level=level, format="{message}")
     logging.basicConfig(
-        handlers=[Forwarder()], level=logging.WARNING, force=True
+        handlers=[LibraryHandler()], level=logging.WARNING, force=True
     )
 
 
 class DecisionLog:
-    """Writes a line per routing or placement decision, within a bound.
+    """Writes one line for each decision, up to a maximum rate.
 
     Parameters
     ----------
     rate : int
-        Lines a second at the most.
+        Maximum number of lines a second.
     """
 
     def __init__(self, *, rate=LINES_PER_SECOND):
@@ -81,35 +84,35 @@
 
     @property
     def dropped(self):
-        """Lines left out since the start."""
+        """Number of lines dropped since the start."""
         return self._dropped
 
-    def write(self, now, what, **fields):
+    def write(self, now, decision, **fields):
         """Log one decision at monotonic time `now` (seconds).
 
         Parameters
         ----------
         now : float
-        what : str
-            Such as ``route`` or ``place``.
+        decision : str
+            Kind of decision, such as ``route`` or ``place``.
         **fields
-            request, team, stage, candidates, choice, why.
+            Such as request, team, stage, candidates, choice, why.
         """
         window = int(now)
         if window != self._window:
-            self._roll(window)
+            self._start_window(window)
         self._count += 1
         if self._count > self._rate:
             self._dropped += 1
             return
-        logger.bind(decision=what, **fields).info("decision")
+        logger.bind(decision=decision, **fields).info("decision")
 
-    def _roll(self, window):
-        missed = self._count - self._rate
+    def _start_window(self, window):
+        excess = self._count - self._rate
         self._window = window
         self._count = 0
-        if missed > 0:
-            logger.bind(lines=missed).warning("decision lines left out")
+        if excess > 0:
+            logger.bind(lines=excess).warning("decision lines left out")
 
 
 @kernel.plugin("decisions")
@@ -118,6 +121,6 @@
 
     Notes
     -----
-    One for all parts, so that the bound holds for them together.
+    All parts share it, so that the rate limit holds for them together.
     """
     yield DecisionLog()
--- a/sycamoreshed/observe/metrics.py
+++ b/sycamoreshed/observe/metrics.py
@@ -1,7 +1,7 @@
 """Metrics of a daemon.
 
-Teams are counted under their own label only while few; the rest share
-one, so that 35,000 teams do not make 35,000 series.
+The first `TEAM_LABELS` teams have a label each and all others share one, so
+that 35,000 teams do not make 35,000 series.
 """
 
 import prometheus_client
@@ -11,7 +11,7 @@
 __all__ = ["Metrics"]
 
 TEAM_LABELS = 50
-OTHER = "other"
+OTHER_TEAMS_LABEL = "other"
 
 
 class Metrics:
@@ -20,7 +20,7 @@
     Parameters
     ----------
     region : str
-        Of this instance; bytes to other regions are counted.
+        Region of this instance; bytes to other regions are counted.
     registry : CollectorRegistry, optional
     """
 
@@ -85,10 +85,10 @@
         if len(self._teams) < TEAM_LABELS:
             self._teams.add(team)
             return team
-        return OTHER
+        return OTHER_TEAMS_LABEL
 
     def count_cross_region(self, request, stage, endpoint, answer):
-        """Count the bytes of a call if it went to another region.
+        """Count the bytes of a call to an endpoint in another region.
 
         Parameters
         ----------
--- a/sycamoreshed/observe/tests/test_explain.py
+++ b/sycamoreshed/observe/tests/test_explain.py
@@ -1,6 +1,6 @@
-"""From a request's id to its cause, with lines of a day that was played.
+"""Explanations of single requests, from log lines of a recorded day.
 
-The walks are those of docs/OPERATIONS.md.
+The requests are the examples in docs/OPERATIONS.md.
 """
 
 import pathlib
@@ -12,18 +12,20 @@
 DATA = pathlib.Path(__file__).parent / "data"
 
 
-def told(name, request):
-    """Return the explanation of a request from a file of lines."""
+def explain_request(name, request):
+    """Return the explanation of a request from a log in `DATA`."""
     with open(DATA / f"{name}.jsonl") as log:
-        return explain.tell(explain.trace(explain.read([log]), request))
+        return explain.format_trace(
+            explain.trace_request(explain.read_events([log]), request)
+        )
 
 
-def test_refused_though_engines_were_free():
-    """Nine engines were free, and the request never came to one.
+def test_request_rejected_as_too_late():
+    """A request is rejected unsent although nine engines are free.
 
-    Its stages had 0.79 s of work before them, more than its time allowed.
+    Its stages have a backlog of 0.79 s, more than its time allows.
     """
-    text = told("refused", "71a801a8797e3c41")
+    text = explain_request("refused", "71a801a8797e3c41")
     assert text[0].startswith("edge-cwb-a-3 believed: configuration 4 for")
     staged = next(line for line in text if " staged: " in line)
     assert "is_late=True" in staged and "'huny79e': 0.789" in staged
@@ -31,34 +33,37 @@
     assert text[-1].startswith("cause: its stages could not have been done")
 
 
-def test_a_vote_whose_outcome_is_unknown():
-    """The endpoint reset the connection after the vote was sent.
+def test_vote_with_unknown_outcome():
+    """An endpoint resets the connection after a vote was sent to it.
 
-    It is not sent again, since it may have been recorded.
+    The vote is not sent again, since it may have been recorded.
     """
-    text = told("unknown", "9548826414271963")
+    text = explain_request("unknown", "9548826414271963")
     failed = next(line for line in text if " attempt_failed: " in line)
     assert "reset by peer" in failed and "sent=True" in failed
-    kept = next(line for line in text if " no_retry: " in line)
-    assert "why=may have run" in kept
+    no_retry = next(line for line in text if " no_retry: " in line)
+    assert "why=may have run" in no_retry
     assert "status=502" in text[-2]
     assert text[-1].endswith("nobody knows whether it ran")
 
 
-def test_a_stream_that_broke_midway():
-    """After 20 events the engine's connection broke off within a chunk."""
-    text = told("broken", "0498a1af22b7ec9a")
+def test_stream_broken_midway():
+    """An engine's connection closes within a chunk after 20 events."""
+    text = explain_request("broken", "0498a1af22b7ec9a")
     broken = next(line for line in text if " broken: " in line)
     assert "events=20" in broken
     assert any(" attempt_failed: " in line for line in text)
 
 
-def test_a_request_that_nobody_names():
-    assert told("broken", "none") == ["no line names this request"]
+def test_request_without_lines():
+    assert explain_request("broken", "none") == ["no line names this request"]
 
 
-def test_what_was_believed_at_the_time():
-    """The store was lost for a while and an endpoint avoided."""
+def test_state_at_first_line_of_request():
+    """A request arrives while the store is lost and an endpoint avoided.
+
+    The store is back only later, so the explanation must name both.
+    """
     lines = [
         {"t": 1.0, "at": "e", "event": "start"},
         {"t": 2.0, "at": "e", "event": "configuration", "version": 7},
@@ -68,23 +73,23 @@
         {"t": 5.0, "at": "e", "event": "admitted", "request": "r"},
         {"t": 6.0, "at": "e", "event": "store_back", "table": "settings"},
     ]
-    (first, *_) = explain.tell(explain.trace(lines, "r"))
+    (first, *_) = explain.format_trace(explain.trace_request(lines, "r"))
     assert first == (
         "e believed: configuration 7 for 3.0 s; store lost for settings for "
         "2.0 s; i-1 avoided lately (500)"
     )
 
 
-def test_causes_are_counted():
+def test_failures_are_counted_by_cause():
     lines = []
     for name in ("refused", "unknown", "broken"):
         with open(DATA / f"{name}.jsonl") as log:
-            lines += explain.read([log])
-    found = explain.failures(lines)
-    assert sum(count for _, count, _ in found) == 4
-    assert all(example for _, _, example in found)
+            lines += explain.read_events([log])
+    causes = explain.count_failures(lines)
+    assert sum(count for _, count, _ in causes) == 4
+    assert all(example for _, _, example in causes)
 
 
 @pytest.mark.parametrize("text", ["", "no json", "{", '{"a":1}', "[1]"])
-def test_other_lines_are_left_out(text):
-    assert not list(explain.read([[text]]))
+def test_lines_without_event_are_skipped(text):
+    assert not list(explain.read_events([[text]]))
--- a/sycamoreshed/observe/tests/test_journal.py
+++ b/sycamoreshed/observe/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The structured log: bounded, and never in the way."""
+"""The structured log: bounded and non-blocking."""
 
 import asyncio
 import json
@@ -9,7 +9,7 @@
 
 
 def read_lines(fd):
-    """Return the decoded lines that lie in a pipe."""
+    """Return the decoded lines that a pipe holds."""
     os.set_blocking(fd, False)
     raw = b""
     try:
@@ -21,62 +21,62 @@
 
 
 def pipe():
-    """Return the ends of a pipe; the end to write never blocks."""
+    """Return the ends of a pipe; its write end is non-blocking."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     return reader, writer
 
 
-async def test_lines_are_written_after_a_moment():
+async def test_lines_are_written_after_flush_interval():
     reader, writer = pipe()
     log = journal.Journal(instance="edge-1", fd=writer, clock=lambda: 7.0)
     log.write("start", boot=1, pid=2)
-    await asyncio.sleep(2 * journal.FLUSH_S)
+    await asyncio.sleep(2 * journal.FLUSH_INTERVAL_S)
     assert read_lines(reader) == [
         {"t": 7.0, "at": "edge-1", "event": "start", "boot": 1, "pid": 2}
     ]
 
 
-async def test_a_failure_is_on_the_log_before_its_caller_hears_of_it():
-    """An instance dies or stalls a moment after it cut off an answer.
+async def test_failure_is_written_at_once():
+    """An instance dies or stalls just after it cut off an answer.
 
-    Gathered with others for a quarter of a second, the line that tells why
-    would be gone with it, and with it those that led there.
+    If the line that states the cause were buffered for a quarter of a
+    second, it would be lost, and the lines that led to it as well.
     """
     reader, writer = pipe()
     log = journal.Journal(instance="edge-1", fd=writer)
     log.write("retry", request="r")
     assert read_lines(reader) == []
     log.write("broken", request="r")
-    found = [line["event"] for line in read_lines(reader)]
-    assert found == ["retry", "broken"]
+    names = [line["event"] for line in read_lines(reader)]
+    assert names == ["retry", "broken"]
 
 
-async def test_many_failures_cost_few_writes(monkeypatch):
-    """Hundreds of requests are refused in a burst."""
+async def test_burst_of_failures_costs_few_writes(monkeypatch):
+    """Hundreds of requests are rejected in a burst."""
     reader, writer = pipe()
     writes = []
-    real = os.write
+    real_write = os.write
 
-    def count(fd, data):
+    def counting_write(fd, data):
         writes.append(len(data))
-        return real(fd, data)
+        return real_write(fd, data)
 
-    monkeypatch.setattr(journal.os, "write", count)
+    monkeypatch.setattr(journal.os, "write", counting_write)
     log = journal.Journal(instance="edge-1", fd=writer)
     for number in range(300):
         log.write("failed", request=f"r{number}")
-    await asyncio.sleep(10 * journal.SOON_S)
+    await asyncio.sleep(10 * journal.MIN_FLUSH_GAP_S)
     assert len(read_lines(reader)) == 300
     assert len(writes) < 30
 
 
-async def test_a_reader_that_stops_holds_up_nothing():
-    """Nobody reads standard output any more.
+async def test_stopped_reader_does_not_block():
+    """Standard output is no longer read.
 
-    A daemon that waited for it would stop serving; what it keeps instead is
-    bounded, and of what is left out the ends of failed requests are kept
-    longest.
+    A daemon that waited for its reader would stop serving.  Its buffer is
+    bounded instead, and details are dropped before the ends of failed
+    requests.
     """
     _, writer = pipe()
     log = journal.Journal(instance="edge-1", fd=writer)
@@ -90,7 +90,7 @@
     assert not log.dropped["FAILURE"]
 
 
-async def test_a_reader_that_is_gone_does_no_harm():
+async def test_closed_reader_raises_no_error():
     reader, writer = pipe()
     os.close(reader)
     log = journal.Journal(instance="edge-1", fd=writer)
@@ -98,8 +98,8 @@
     log.flush()
 
 
-def test_each_event_tells_its_fields():
+def test_events_have_unique_fields_and_condition():
     for name, event in events.EVENTS.items():
-        fields = [each.strip() for each in event.fields.split(",")]
+        fields = [field.strip() for field in event.fields.split(",")]
         assert len(fields) == len(set(fields)), name
         assert event.when
--- a/sycamoreshed/observe/tests/test_logs.py
+++ b/sycamoreshed/observe/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The decision log and its bound."""
+"""The decision log, its rate limit and the lines of libraries."""
 
 import contextlib
 import json
@@ -11,20 +11,20 @@
 
 @pytest.fixture
 def lines(capsys):
-    """Return a function that takes the lines logged since its last use."""
+    """Return a function that returns the lines logged since its last call."""
     logs.set_up("INFO")
 
-    def taken():
+    def new_lines():
         text = capsys.readouterr().err
         return [json.loads(line) for line in text.splitlines()]
 
-    yield taken
+    yield new_lines
     logging.getLogger().handlers.clear()
     with contextlib.suppress(ValueError):
         logs.logger.remove()
 
 
-def test_line_names_what_was_decided(lines):
+def test_line_names_kind_and_fields_of_decision(lines):
     log = logs.DecisionLog()
     log.write(1.0, "route", request="r", choice="a", why="near", candidates=3)
     (line,) = lines()
@@ -40,10 +40,10 @@
     }
 
 
-def test_overload_is_counted_instead_of_logged(lines):
-    """Decisions come faster than lines may be written.
+def test_decisions_above_rate_are_counted(lines):
+    """Decisions are made faster than the maximum rate of lines.
 
-    The log would otherwise take the time that the requests need.
+    Without the limit, logging would take time that the requests need.
     """
     log = logs.DecisionLog(rate=5)
     for number in range(12):
@@ -51,20 +51,20 @@
     assert [line["number"] for line in lines()] == list(range(5))
     assert log.dropped == 7
     log.write(2.0, "route", number=99)
-    missed, last = lines()
-    assert (missed["level"], missed["lines"]) == ("WARNING", 7)
+    excess, last = lines()
+    assert (excess["level"], excess["lines"]) == ("WARNING", 7)
     assert last["number"] == 99
     assert log.dropped == 7
 
 
-def test_level_keeps_decisions_out(lines):
+def test_level_warning_leaves_out_decisions(lines):
     logs.set_up("WARNING")
     logs.DecisionLog().write(1.0, "route")
     assert lines() == []
 
 
-def test_lines_of_libraries_are_json_too(lines):
-    """A library logs a traceback of many lines, with braces in it."""
+def test_lines_of_libraries_are_json(lines):
+    """A library logs a traceback of many lines that contains braces."""
     log = logging.getLogger("aiohttp.server")
     log.info("left out")
     try:
--- a/sycamoreshed/observe/tests/test_metrics.py
+++ b/sycamoreshed/observe/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics at the size to design for."""
+"""Metrics with many teams and of calls across regions."""
 
 import types
 
@@ -11,14 +11,14 @@
 
 
 def test_series_stay_few_with_all_teams():
-    """Thousands of teams call; a scrape must not grow with them."""
-    part = metrics.Metrics()
+    """The size of a scrape must not grow with the number of teams."""
+    daemon_metrics = metrics.Metrics()
     for number in range(TEAMS):
-        team = part.team_label(f"team-{number}")
+        team = daemon_metrics.team_label(f"team-{number}")
         pipeline = f"pipeline-{number % PIPELINES}"
         outcome = list(kinds.Outcome)[number % len(kinds.Outcome)]
-        part.requests.labels(team, pipeline, outcome).inc()
-    text = part.render().decode()
+        daemon_metrics.requests.labels(team, pipeline, outcome).inc()
+    text = daemon_metrics.render().decode()
     lines = [line for line in text.splitlines() if line[0] != "#"]
     totals = [
         line for line in lines if line.startswith("sycamoreshed_requests_tot")
@@ -30,11 +30,13 @@
 
 
 def test_only_bytes_to_other_regions_are_counted():
-    part = metrics.Metrics(region="north")
+    daemon_metrics = metrics.Metrics(region="north")
     request = types.SimpleNamespace(pipeline="summary")
     answer = endpoints.StageAnswer("x", 100)
     for region in ("north", "south", "south"):
         endpoint = types.SimpleNamespace(region=region)
-        part.count_cross_region(request, {"name": "encode"}, endpoint, answer)
-    counter = part.cross_region_bytes.labels("summary", "encode")
+        daemon_metrics.count_cross_region(
+            request, {"name": "encode"}, endpoint, answer
+        )
+    counter = daemon_metrics.cross_region_bytes.labels("summary", "encode")
     assert counter._value.get() == 200
