--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds the system; never part of its binary."""
+"""Stand-ins for external services, for tests; not part of the binary."""
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -13,29 +13,29 @@
 
 __all__ = ["Engine"]
 
-EVENT_LAG_S = 0.5
-ENDINGS = {"no_finish", "wrong_finish"}
-STREAM_FAULTS = ("break_", "skip", "garble", "repeat", "stray", *ENDINGS)
+REPORT_LAG_S = 0.5
+ENDING_FAULTS = {"no_finish", "wrong_finish"}
+STREAM_FAULTS = ("break_", "skip", "garble", "repeat", "stray", *ENDING_FAULTS)
 
 
 class Engine:
-    """Streams tokens under a slot limit, with a prefix cache.
+    """Streams tokens with limited concurrency and a prefix cache.
 
     Parameters
     ----------
     faults : Faults
     slots : int
-        Streams served at a time; more wait, by priority.
+        Maximum concurrent streams; others queue by priority.
     token_s : float
         Seconds between tokens.
     prefill_s : float
         Seconds before the first token when the prefix is not cached.
     tokens : int
-        Length of an answer.
+        Number of tokens in an answer.
     cache : int
-        Prefixes held.
+        Maximum number of cached prefixes.
     book : OrderBook
-        What is loaded.
+        Handles load orders and tracks the loaded model.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         self._sequence = 0
         self._cancelled = set()
         self._events = []
-        self._report = {"running": 0, "waiting": 0, "at": 0.0}
-        self._book = book
+        self._load_report = {"running": 0, "waiting": 0, "at": 0.0}
+        self._order_book = book
         self.counters = collections.Counter()
 
     def routes(self):
         """Return the routes of the engine."""
         return [
-            *self._book.routes(),
+            *self._order_book.routes(),
             web.post("/generate", self.generate),
             web.post("/cancel", self.cancel),
             web.get("/load", self.load),
@@ -73,15 +73,15 @@
     async def generate(self, http):
         """Stream an answer as JSON lines."""
         body = await http.json()
-        if not self._book.serving:
+        if not self._order_book.serving:
             self.counters["refused_calls"] += 1
             return web.json_response({"error": "loading"}, status=429)
-        await self._enter(body["priority"])
+        await self._acquire_slot(body["priority"])
         try:
             await self._prefill(body)
-            return await self._write(http, body)
+            return await self._stream_tokens(http, body)
         finally:
-            self._leave()
+            self._release_slot()
 
     async def cancel(self, http):
         """Stop an attempt."""
@@ -91,45 +91,45 @@
         return web.json_response({"cancelled": True})
 
     async def load(self, _http):
-        """Report the load as it was up to a lag ago."""
+        """Report the load from a snapshot up to `REPORT_LAG_S` old."""
         now = time.monotonic()
-        if now - self._report["at"] > EVENT_LAG_S:
-            self._report = {
+        if now - self._load_report["at"] > REPORT_LAG_S:
+            self._load_report = {
                 "running": self._running,
                 "waiting": self._waiting.qsize(),
                 "slots": self._slots,
                 "at": now,
             }
         report = {
-            **self._report,
-            "age_s": now - self._report["at"],
-            "loaded": self._book.loaded,
+            **self._load_report,
+            "age_s": now - self._load_report["at"],
+            "loaded": self._order_book.loaded,
         }
         return web.json_response(report)
 
     async def cache_events(self, http):
-        """Report cache changes late, every tenth left out."""
+        """Report cache changes with a lag, omitting every tenth."""
         after = int(http.query.get("after", "0"))
-        due = time.monotonic() - EVENT_LAG_S
+        visible_at = time.monotonic() - REPORT_LAG_S
         events = [
             event
             for event in self._events
             if event["sequence"] > after
-            and event["at"] <= due
+            and event["at"] <= visible_at
             and event["sequence"] % 10
         ]
         return web.json_response({"events": events[:1000]})
 
     async def kv_export(self, http):
-        """Hand out a cached prefix."""
+        """Export a cached prefix."""
         body = await http.json()
-        held = body["prefix"] in self._cache
-        return web.json_response({"prefix": body["prefix"], "held": held})
+        is_cached = body["prefix"] in self._cache
+        return web.json_response({"prefix": body["prefix"], "held": is_cached})
 
     async def kv_import(self, http):
-        """Take a cached prefix."""
+        """Import a cached prefix."""
         body = await http.json()
-        self._remember(body["prefix"])
+        self._cache_prefix(body["prefix"])
         return web.json_response({"imported": True})
 
     async def counts(self, _http):
@@ -138,31 +138,32 @@
             {
                 **self.counters,
                 "orders": 0,
-                **self._book.counters,
+                **self._order_book.counters,
                 "running": self._running,
             }
         )
 
-    async def _enter(self, priority):
+    async def _acquire_slot(self, priority):
         if self._running < self._slots:
             self._running += 1
             return
         self._sequence += 1
-        woken = asyncio.get_running_loop().create_future()
-        self._waiting.put_nowait((priority, self._sequence, woken))
+        slot_granted = asyncio.get_running_loop().create_future()
+        self._waiting.put_nowait((priority, self._sequence, slot_granted))
         try:
-            await woken
+            await slot_granted
         except asyncio.CancelledError:
-            # Woken and cancelled at once: the slot would be lost.
-            if woken.done() and not woken.cancelled():
-                self._leave()
+            # The slot was granted before the cancellation arrived; pass it
+            # on, or it would leak.
+            if slot_granted.done() and not slot_granted.cancelled():
+                self._release_slot()
             raise
 
-    def _leave(self):
+    def _release_slot(self):
         while not self._waiting.empty():
-            _, _, woken = self._waiting.get_nowait()
-            if not woken.done():
-                woken.set_result(None)
+            _, _, slot_granted = self._waiting.get_nowait()
+            if not slot_granted.done():
+                slot_granted.set_result(None)
                 return
         self._running -= 1
 
@@ -175,70 +176,72 @@
             return
         await asyncio.sleep(self._prefill_s * self._faults.slow)
         if prefix is not None:
-            self._remember(prefix)
+            self._cache_prefix(prefix)
 
-    def _remember(self, prefix):
+    def _cache_prefix(self, prefix):
         self._cache[prefix] = True
-        self._event("stored", prefix)
+        self._record_event("stored", prefix)
         while len(self._cache) > self._cache_size:
-            gone, _ = self._cache.popitem(last=False)
-            self._event("evicted", gone)
+            evicted, _ = self._cache.popitem(last=False)
+            self._record_event("evicted", evicted)
 
-    def _event(self, what, prefix):
+    def _record_event(self, change, prefix):
         sequence = len(self._events) + 1
         self._events.append(
             {
                 "sequence": sequence,
-                "what": what,
+                "what": change,
                 "prefix": prefix,
                 "at": time.monotonic(),
             }
         )
 
-    async def _write(self, http, body):
-        names = services.identity(body)
+    async def _stream_tokens(self, http, body):
+        identity = services.identity(body)
         answer = web.StreamResponse()
         answer.content_type = "application/x-ndjson"
         await answer.prepare(http)
-        faulty = self._faults.draw(STREAM_FAULTS)
+        active_faults = self._faults.draw(STREAM_FAULTS)
         middle = self._tokens // 2
         for offset in range(body.get("offset", 0), self._tokens):
             if body["attempt"] in self._cancelled:
                 return answer
             await asyncio.sleep(self._token_s * self._faults.slow)
             token = f"{body['request'][:6]}-{offset} "
-            lines = [{**names, "offset": offset, "token": token}]
-            if offset == middle and faulty:
+            lines = [{**identity, "offset": offset, "token": token}]
+            if offset == middle and active_faults:
                 self.counters["faulted"] += 1
-                lines = _spoil(lines, names, offset, self._tokens, faulty)
+                lines = _apply_faults(
+                    lines, identity, offset, self._tokens, active_faults
+                )
                 if lines is None:
                     http.transport.abort()
                     return answer
             for line in lines:
                 await answer.write(_encode(line))
             self.counters["tokens"] += 1
-            if offset == middle and faulty & ENDINGS:
+            if offset == middle and active_faults & ENDING_FAULTS:
                 return answer
-        line = {**names, "offset": self._tokens, "finish": "stop"}
+        line = {**identity, "offset": self._tokens, "finish": "stop"}
         await answer.write(_encode(line))
         return answer
 
 
-def _spoil(lines, names, offset, length, faulty):
-    """Return the lines that faults make of one; None cuts the stream."""
-    if "break_" in faulty:
+def _apply_faults(lines, identity, offset, length, active_faults):
+    """Return the faulty lines to send; None closes the connection."""
+    if "break_" in active_faults:
         return None
-    if "skip" in faulty:
+    if "skip" in active_faults:
         return []
-    if "garble" in faulty:
+    if "garble" in active_faults:
         return [b'{"request": "']
-    if "repeat" in faulty:
+    if "repeat" in active_faults:
         lines = [{**lines[0], "offset": offset - 1}, *lines]
-    if "stray" in faulty:
+    if "stray" in active_faults:
         other = {**lines[0], "attempt": "other", "token": "STRAY "}
         lines = [other, *lines]
-    if "wrong_finish" in faulty:
-        lines = [{**names, "offset": length, "finish": "stop"}]
+    if "wrong_finish" in active_faults:
+        lines = [{**identity, "offset": length, "finish": "stop"}]
     return lines
 
 
@@ -249,7 +252,7 @@
 
 @registry.KINDS.register("engine")
 def engine(spec, faults):
-    """Make an engine."""
+    """Create an engine."""
     return Engine(
         faults=faults,
         slots=spec.get("slots", 8),
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults a stand-in can be told to show."""
+"""Fault injection for stand-ins."""
 
 import asyncio
 import random
@@ -11,30 +11,32 @@
 
 
 class FaultSpec(typing.TypedDict):
-    """What goes wrong; all keys are optional.
-
-    ``delay_s``: added before each call.  ``jitter_s``: up to this much
-    more.  ``busy``: share of calls refused with status 429.  ``fail``:
-    share of calls answered with status 500 and without effect.
-    ``lose``: share of calls whose connection is closed after taking
-    effect.  ``lose_next``: that many next calls lose their answer.
-    ``late``: share of calls whose connection is closed at once, and that
-    take effect ``late_s`` later.  ``serial_s``: calls are served one
-    after another, each for so long.  ``swap``: share of answers that name
-    another call.  ``other_attempt``: share of answers that name another
-    attempt of the same call.  ``down``: close every connection at once.
-    ``paths``: only paths with one of these beginnings.  ``delay_from``:
-    seconds added by source address.  ``slow``: factor on the time that
-    work takes.  ``stale``: share of reads of rows that are answered with
-    the row as it was before its last write.
-
-    Of streams, each a share and shown in the middle of a stream:
-    ``break_``: the connection is cut.  ``skip``: a token is left out.
-    ``repeat``: the token before is sent again.  ``no_finish``: the
-    stream ends early and without its finishing mark.  ``wrong_finish``:
-    it ends early, with a finishing mark of the full length.  ``stray``:
-    a line of another attempt comes between.  ``garble``: a line that is
-    no JSON.
+    """Faults to inject; all keys are optional.
+
+    A share is a probability between 0 and 1.
+
+    ``delay_s``: seconds added before each call.  ``jitter_s``: maximum
+    random delay added to that.  ``busy``: share of calls refused with
+    status 429.  ``fail``: share of calls answered with status 500 and
+    without effect.  ``lose``: share of calls whose connection is closed
+    after taking effect.  ``lose_next``: number of next calls whose answer
+    is lost.  ``late``: share of calls whose connection is closed at once,
+    and that take effect ``late_s`` later.  ``serial_s``: calls are served
+    one after another, each for this long.  ``swap``: share of answers
+    that carry the identity of another call.  ``other_attempt``: share of
+    answers that name another attempt of the same call.  ``down``: close
+    every connection at once.  ``paths``: path prefixes that the faults
+    are limited to.  ``delay_from``: seconds added by source address.
+    ``slow``: factor on processing time.  ``stale``: share of reads
+    answered with the value before the last write.
+
+    Faults of streams, each a share, injected in the middle of a stream:
+    ``break_``: the connection is closed.  ``skip``: a token is omitted.
+    ``repeat``: the previous token is sent again.  ``no_finish``: the
+    stream ends early without its finish line.  ``wrong_finish``: it ends
+    early, with a finish line for the full length.  ``stray``: a line of
+    another attempt is inserted.  ``garble``: a line that is not valid
+    JSON.
     """
 
     delay_s: typing.NotRequired[float]
@@ -63,29 +65,29 @@
 
 
 class Faults:
-    """The faults of one stand-in, and the middleware that shows them."""
+    """The faults of one stand-in, and the middleware that injects them."""
 
     def __init__(self, *, seed=0):
         self._random = random.Random(seed)
-        self._late = set()
-        self._serial = asyncio.Lock()
+        self._late_tasks = set()
+        self._serial_lock = asyncio.Lock()
         self.spec = {}
 
     @property
     def slow(self):
-        """Factor on the time that work takes."""
+        """Factor on processing time."""
         return self.spec.get("slow", 1.0)
 
     def hits(self, share):
-        """Draw whether something of this share happens."""
+        """Return True with the given probability."""
         return self._random.random() < share
 
     def draw(self, names):
-        """Return those of the named faults that one call shows."""
+        """Draw which of the named faults one call gets."""
         return {name for name in names if self.hits(self.spec.get(name, 0.0))}
 
     def applies(self, path):
-        """Return whether faults are meant for this path."""
+        """Return whether faults are injected on this path."""
         if path == "/faults":
             return False
         paths = self.spec.get("paths")
@@ -106,14 +108,14 @@
                 return await handler(http)
             spec = self.spec
             if spec.get("down"):
-                return _cut(http)
-            seconds = spec.get("delay_s", 0.0)
-            seconds += self._random.uniform(0, spec.get("jitter_s", 0.0))
-            seconds += spec.get("delay_from", {}).get(http.remote, 0.0)
-            if seconds:
-                await asyncio.sleep(seconds)
+                return _abort_connection(http)
+            delay_s = spec.get("delay_s", 0.0)
+            delay_s += self._random.uniform(0, spec.get("jitter_s", 0.0))
+            delay_s += spec.get("delay_from", {}).get(http.remote, 0.0)
+            if delay_s:
+                await asyncio.sleep(delay_s)
             if "serial_s" in spec:
-                async with self._serial:
+                async with self._serial_lock:
                     await asyncio.sleep(spec["serial_s"])
             if self.hits(spec.get("busy", 0.0)):
                 return web.json_response({"error": "busy"}, status=429)
@@ -121,32 +123,32 @@
                 return web.json_response({"error": "fault"}, status=500)
             if "late" in spec and self.hits(spec["late"]):
                 await http.read()
-                self._put_off(handler, http, spec.get("late_s", 0.5))
-                return _cut(http)
+                self._run_later(handler, http, spec.get("late_s", 0.5))
+                return _abort_connection(http)
             answer = await handler(http)
-            if self._loses(spec):
-                return _cut(http)
+            if self._is_answer_lost(spec):
+                return _abort_connection(http)
             return answer
 
         return inject
 
-    def _put_off(self, handler, http, seconds):
+    def _run_later(self, handler, http, delay_s):
         async def later():
-            await asyncio.sleep(seconds)
+            await asyncio.sleep(delay_s)
             await handler(http)
 
         task = asyncio.create_task(later())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        self._late_tasks.add(task)
+        task.add_done_callback(self._late_tasks.discard)
 
-    def _loses(self, spec):
+    def _is_answer_lost(self, spec):
         if spec.get("lose_next", 0) > 0:
             spec["lose_next"] -= 1
             return True
         return self.hits(spec.get("lose", 0.0))
 
 
-def _cut(http):
+def _abort_connection(http):
     if http.transport is not None:
         http.transport.abort()
     return web.Response(status=500)
--- a/standins/host.py
+++ b/standins/host.py
@@ -1,8 +1,8 @@
-"""One process that hosts many stand-ins, each on its own port.
+"""Process that hosts many stand-ins, each on its own port.
 
 ``python -m standins.host`` reads a JSON list of specifications from
 standard input, prints one JSON object of addresses by name, and serves
-until it is told to stop.
+until it receives SIGTERM or SIGINT.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 __all__ = ["main", "start"]
 
 HOST = "127.0.0.1"
-MAX_BODY = 1 << 26
+MAX_BODY_BYTES = 1 << 26
 
 
 async def start(spec):
@@ -37,21 +37,21 @@
     Parameters
     ----------
     spec : dict
-        ``kind``, ``name`` and what the kind takes; ``port`` if it has to
-        be a certain one.
+        ``kind``, ``name`` and the options of the kind; ``port`` for a
+        fixed port.
 
     Returns
     -------
     str
         Its address.
     """
-    fault = faults.Faults(seed=spec.get("seed", 0))
-    part = registry.KINDS.get(spec["kind"])(spec, fault)
+    injector = faults.Faults(seed=spec.get("seed", 0))
+    service = registry.KINDS.get(spec["kind"])(spec, injector)
     app = web.Application(
-        middlewares=[fault.middleware()], client_max_size=MAX_BODY
+        middlewares=[injector.middleware()], client_max_size=MAX_BODY_BYTES
     )
-    app.add_routes(part.routes())
-    app.add_routes([web.post("/faults", fault.set)])
+    app.add_routes(service.routes())
+    app.add_routes([web.post("/faults", injector.set)])
     runner = web.AppRunner(app, access_log=None, handler_cancellation=True)
     await runner.setup()
     site = web.TCPSite(runner, HOST, spec.get("port", 0))
@@ -64,7 +64,8 @@
     specs = json.loads(sys.stdin.readline())
     addresses = {}
     for spec in specs:
-        # Engines that are told so load through a weight store before them.
+        # An engine that names a weight store needs the store's address, so
+        # the store comes earlier in the list.
         if "weights" in spec:
             spec["weights_address"] = addresses[spec["weights"]]
         addresses[spec["name"]] = await start(spec)
--- a/standins/instances.py
+++ b/standins/instances.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's lagging list of instances."""
+"""Stand-in for the platform's eventually consistent instance list."""
 
 import collections
 import time
@@ -11,17 +11,17 @@
 
 
 class LaggingList:
-    """Shows each change only after a lag.
+    """Makes each change visible only after a lag.
 
     Parameters
     ----------
     lag_s : float
-        Seconds after which a change is shown.
+        Seconds until a change becomes visible.
     """
 
     def __init__(self, *, lag_s):
         self._lag_s = lag_s
-        self._shown = []
+        self._visible = []
         self._pending = collections.deque()
 
     def routes(self):
@@ -32,21 +32,21 @@
         ]
 
     async def get(self, _http):
-        """Answer with the list as it was some time ago."""
+        """Answer with the list as it was `lag_s` ago."""
         now = time.monotonic()
         while self._pending and self._pending[0][0] <= now:
-            self._shown = self._pending.popleft()[1]
-        return web.json_response({"instances": self._shown})
+            self._visible = self._pending.popleft()[1]
+        return web.json_response({"instances": self._visible})
 
     async def put(self, http):
         """Replace the list."""
         body = await http.json()
-        due = time.monotonic() + self._lag_s
-        self._pending.append((due, body["instances"]))
+        visible_at = time.monotonic() + self._lag_s
+        self._pending.append((visible_at, body["instances"]))
         return web.json_response({"pending": len(self._pending)})
 
 
 @registry.KINDS.register("instances")
 def instances(spec, faults):
-    """Make a lagging list."""
+    """Create a lagging list."""
     return LaggingList(lag_s=spec.get("lag_s", 0.0))
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -10,13 +10,13 @@
 class ObjectStore:
     """Named blobs.
 
-    The fault ``stale`` (a share) answers with the object before the last.
+    The fault ``stale`` (a share of reads) answers with the previous version.
     """
 
     def __init__(self, *, faults):
         self._faults = faults
         self._objects = {}
-        self._before = {}
+        self._previous = {}
 
     def routes(self):
         """Return the routes of the service."""
@@ -31,7 +31,7 @@
         """Answer with one object."""
         name = http.match_info["name"]
         is_stale = self._faults.hits(self._faults.spec.get("stale", 0.0))
-        raw = (self._before if is_stale else self._objects).get(name)
+        raw = (self._previous if is_stale else self._objects).get(name)
         if raw is None:
             return web.json_response({"error": "no object"}, status=404)
         return web.Response(body=raw, content_type="application/json")
@@ -41,14 +41,14 @@
         name = http.match_info["name"]
         raw = await http.read()
         if name in self._objects:
-            self._before[name] = self._objects[name]
+            self._previous[name] = self._objects[name]
         self._objects[name] = raw
         return web.json_response({"stored": True})
 
     async def delete(self, http):
         """Delete one object."""
-        gone = self._objects.pop(http.match_info["name"], None)
-        if gone is None:
+        deleted = self._objects.pop(http.match_info["name"], None)
+        if deleted is None:
             return web.json_response({"error": "no object"}, status=404)
         return web.json_response({"deleted": True})
 
@@ -59,5 +59,5 @@
 
 @registry.KINDS.register("objects")
 def objects(spec, faults):
-    """Make an object store."""
+    """Create an object store."""
     return ObjectStore(faults=faults)
--- a/standins/orders.py
+++ b/standins/orders.py
@@ -1,4 +1,4 @@
-"""How the stand-in of an engine takes orders and loads models."""
+"""Load orders and simulated model loading of a stand-in engine."""
 
 import asyncio
 import collections
@@ -11,46 +11,46 @@
 
 
 class OrderBook:
-    """What an engine has loaded, and the orders it was given.
+    """The loaded model of an engine, and the load orders it received.
 
     Parameters
     ----------
     checks : bool
-        Whether orders with an old fencing number are refused.
+        Whether orders with an outdated fencing token are refused.
     load_s : float
-        Seconds of a load beside the weight store's.
+        Seconds of a load in addition to the weight transfer.
     size : float
-        Bytes of a load.
+        Bytes of weights per load.
     weights : str or None
         Address of the weight store.
     serves_loading : bool
-        Whether calls are taken during a load.
+        Whether calls are accepted during a load.
     broken : list of str
-        Versions that do not load.
+        Versions that fail to load.
     """
 
     def __init__(
         self, *, checks, load_s, size, weights, serves_loading, broken
     ):
-        self._checks = checks
+        self._checks_fence = checks
         self._load_s = load_s
         self._size = size
         self._weights = weights
         self._serves_loading = serves_loading
-        self._broken = broken
+        self._broken_versions = broken
         self._loaded = None
         self._loading = None
-        self._load = None
+        self._load_task = None
         self._fence = 0
         self._config = 0
         self._history = []
-        self._taken = []
+        self._accepted_orders = []
         self.counters = collections.Counter()
-        self._note()
+        self._record_history()
 
     @property
     def serving(self):
-        """Whether calls are taken; always before the first order."""
+        """Whether calls are accepted; always true before the first order."""
         if not self._fence:
             return True
         if self._loading is not None and not self._serves_loading:
@@ -59,11 +59,11 @@
 
     @property
     def loaded(self):
-        """What is loaded, or None."""
+        """The loaded target, or None."""
         return self._loaded
 
     def routes(self):
-        """Return the routes of orders."""
+        """Return the routes for orders and state."""
         return [
             web.get("/state", self.state),
             web.post("/orders", self.order),
@@ -71,33 +71,34 @@
         ]
 
     async def state(self, _http):
-        """Report what is loaded."""
+        """Report what is loaded and loading."""
         self.counters["looks"] += 1
         return web.json_response(self._state())
 
     async def order(self, http):
-        """Take an order; an engine that does not check takes any."""
+        """Apply an order; an outdated one is refused only if checked."""
         body = await http.json()
         stale = body["fence"] < self._fence
         self.counters["stale_orders"] += stale
-        if self._checks and stale:
+        if self._checks_fence and stale:
             self.counters["refused_orders"] += 1
             return web.json_response({"fence": self._fence}, status=409)
         self._fence = max(self._fence, body["fence"])
         self._config = body["config"]
-        self._taken.append(body)
+        self._accepted_orders.append(body)
         self.counters["orders"] += 1
-        self._head_for(body["target"])
+        self._set_target(body["target"])
         return web.json_response(self._state())
 
     async def history(self, _http):
-        """Report what was loaded and serving since when, and the orders.
+        """Report the history of loaded versions, and the orders applied.
 
-        Each entry has the time, whether calls were taken, and the
-        version; times of one process of stand-ins can be compared.
+        Each entry has the time, whether calls were accepted, and the
+        loaded version.  Times are comparable between stand-ins of the
+        same process.
         """
         return web.json_response(
-            {"history": self._history, "orders": self._taken}
+            {"history": self._history, "orders": self._accepted_orders}
         )
 
     def _state(self):
@@ -109,24 +110,24 @@
             "config": self._config,
         }
 
-    def _head_for(self, target):
+    def _set_target(self, target):
         if target == self._loading and target is not None:
             return
-        if self._load is not None:
-            self._load.cancel()
-            self._load = None
+        if self._load_task is not None:
+            self._load_task.cancel()
+            self._load_task = None
             self._loading = None
-        if target is None or self._only_adapters(target):
+        if target is None or self._differs_only_in_adapters(target):
             self._loaded = target
         elif target != self._loaded:
             self._loading = target
-            self._load = asyncio.create_task(self._run_load(target))
-        self._note()
+            self._load_task = asyncio.create_task(self._run_load(target))
+        self._record_history()
 
-    def _only_adapters(self, target):
-        held = self._loaded
-        return held is not None and all(
-            held[name] == target[name] for name in ("model", "version")
+    def _differs_only_in_adapters(self, target):
+        loaded = self._loaded
+        return loaded is not None and all(
+            loaded[name] == target[name] for name in ("model", "version")
         )
 
     async def _run_load(self, target):
@@ -135,11 +136,11 @@
         if self._weights is not None:
             await self._fetch(target)
         self._loading = None
-        if target["version"] not in self._broken:
+        if target["version"] not in self._broken_versions:
             self._loaded = target
         else:
             self._loaded = None
-        self._note()
+        self._record_history()
 
     async def _fetch(self, target):
         path = f"/weights/{target['model']}/{target['version']}"
@@ -150,6 +151,6 @@
         ):
             await answer.read()
 
-    def _note(self):
+    def _record_history(self):
         version = self._loaded["version"] if self._loaded else None
         self._history.append([time.monotonic(), self.serving, version])
--- a/standins/platformstore.py
+++ b/standins/platformstore.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's table store: rows, a feed, and its moods."""
+"""Stand-in for the platform's table store, with a change feed."""
 
 import asyncio
 import base64
@@ -12,16 +12,16 @@
 
 
 class Mood(typing.NamedTuple):
-    """How the store behaves.
+    """Failure mode of the store.
 
     Parameters
     ----------
     status : int or None
-        Status of every answer instead of its own.
+        Status that replaces the status of every answer.
     silent : bool
-        Whether calls are left without an answer.
+        Whether calls hang without an answer.
     loses_answers : bool
-        Whether writes are done and their answers lost.
+        Whether writes take effect but their answers are lost.
     """
 
     status: int | None = None
@@ -30,13 +30,13 @@
 
 
 class PlatformStore:
-    """Keeps rows in tables, each with the version of its last change."""
+    """Stores rows in tables, each with the version of its last change."""
 
     def __init__(self):
         self._rows = {}
-        self._log = []
+        self._changes = []
         self._changed = asyncio.Event()
-        self._oldest = 0
+        self._compacted_version = 0
         self._runner = None
         self.version = 0
         self.mood = Mood()
@@ -46,9 +46,9 @@
     async def start(self):
         """Listen on a free port."""
         app = web.Application()
-        app.router.add_get("/v1/rows-get", self._guarded(self._get))
-        app.router.add_get("/v1/rows-feed", self._guarded(self._feed))
-        app.router.add_post("/v1/rows-tx", self._guarded(self._tx))
+        app.router.add_get("/v1/rows-get", self._with_failures(self._get))
+        app.router.add_get("/v1/rows-feed", self._with_failures(self._feed))
+        app.router.add_post("/v1/rows-tx", self._with_failures(self._transact))
         self._runner = web.AppRunner(
             app,
             access_log=None,
@@ -72,7 +72,7 @@
         Parameters
         ----------
         value : object
-            Written as JSON; bytes as they are.
+            Stored as JSON; bytes are stored unchanged.
         """
         raw = value if isinstance(value, bytes) else msgspec.json.encode(value)
         self._change(table, key, base64.b64encode(raw).decode())
@@ -90,25 +90,25 @@
         }
 
     def compact(self):
-        """Forget the history."""
-        self._log.clear()
-        self._oldest = self.version
+        """Discard the change history; older feed positions get status 410."""
+        self._changes.clear()
+        self._compacted_version = self.version
 
     def _change(self, table, key, value):
         self.version += 1
         row = {"table": table, "part": "", "key": key, "ver": self.version}
         if value is None:
             self._rows.pop((table, key), None)
-            self._log.append({**row, "tombstone": True})
+            self._changes.append({**row, "tombstone": True})
         else:
             row["value"] = value
             self._rows[table, key] = row
-            self._log.append(row)
+            self._changes.append(row)
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _guarded(self, handler):
-        async def guarded(http):
+    def _with_failures(self, handler):
+        async def handle(http):
             self.calls.append((http.path, dict(http.query)))
             if self.mood.silent:
                 await asyncio.Event().wait()
@@ -119,9 +119,9 @@
                 http.transport.abort()
             return answer
 
-        return guarded
+        return handle
 
-    def _told(self, **more):
+    def _answer(self, **more):
         now_ms = int(time.monotonic() * 1000)
         return web.json_response(
             {"ver": self.version, "now_ms": now_ms, **more}
@@ -138,36 +138,36 @@
             key=lambda row: row["key"].encode(),
         )
         limit = int(http.query.get("limit", 500))
-        return self._told(rows=found[:limit], has_more=len(found) > limit)
+        return self._answer(rows=found[:limit], has_more=len(found) > limit)
 
     async def _feed(self, http):
         after = int(http.query["after"])
-        until = time.monotonic() + int(http.query["wait_ms"]) / 1000
+        deadline = time.monotonic() + int(http.query["wait_ms"]) / 1000
         while True:
-            if after < self._oldest:
+            if after < self._compacted_version:
                 return web.json_response({}, status=410)
             found = {
                 row["key"]: row
-                for row in self._log
+                for row in self._changes
                 if row["table"] == http.query["table"] and row["ver"] > after
             }
-            left = until - time.monotonic()
-            if found or left <= 0:
-                return self._told(rows=list(found.values()))
+            remaining_s = deadline - time.monotonic()
+            if found or remaining_s <= 0:
+                return self._answer(rows=list(found.values()))
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
             except TimeoutError:
                 continue
 
-    async def _tx(self, http):
+    async def _transact(self, http):
         body = await http.json()
         for row in body["expected"]:
-            held = self._rows.get((row["table"], row["key"]))
-            if (held["ver"] if held else 0) != row["ver"]:
+            stored = self._rows.get((row["table"], row["key"]))
+            if (stored["ver"] if stored else 0) != row["ver"]:
                 return web.json_response({"rows": []}, status=412)
         for row in body["put"]:
             self._change(row["table"], row["key"], row["value"])
         for row in body["remove"]:
             self._change(row["table"], row["key"], None)
-        return self._told()
+        return self._answer()
--- a/standins/registry.py
+++ b/standins/registry.py
@@ -1,4 +1,4 @@
-"""Which stand-ins there are."""
+"""Registry of the kinds of stand-ins."""
 
 from sycamoreshed.kernel import registry
 
--- a/standins/scripted.py
+++ b/standins/scripted.py
@@ -1,18 +1,18 @@
-"""An endpoint that answers from a script, byte by byte if need be."""
+"""An endpoint that answers with scripted bytes and delays."""
 
 import asyncio
 import socket
 import struct
 import typing
 
-__all__ = ["RESET", "Endpoint", "Seen", "answer", "stream_head"]
+__all__ = ["RESET", "Endpoint", "ReceivedRequest", "answer", "stream_head"]
 
-# In a script: reset the connection, instead of bytes to send.
+# Script step that resets the connection instead of sending bytes.
 RESET = object()
 
 
-class Seen(typing.NamedTuple):
-    """A request that an endpoint has read."""
+class ReceivedRequest(typing.NamedTuple):
+    """A request that an endpoint received."""
 
     method: str
     target: str
@@ -21,16 +21,16 @@
 
 
 def answer(status, body=b"", **headers):
-    """Return the bytes of an answer with a length."""
-    named = {key.replace("_", "-"): value for key, value in headers.items()}
-    named["Content-Length"] = str(len(body))
-    return _head(status, named) + body
+    """Return the bytes of an answer with a Content-Length."""
+    fields = {key.replace("_", "-"): value for key, value in headers.items()}
+    fields["Content-Length"] = str(len(body))
+    return _head(status, fields) + body
 
 
 def stream_head(status=200, **headers):
-    """Return the head of an answer that its connection ends."""
-    named = {key.replace("_", "-"): value for key, value in headers.items()}
-    return _head(status, {**named, "Connection": "close"})
+    """Return the head of an answer that ends when the connection closes."""
+    fields = {key.replace("_", "-"): value for key, value in headers.items()}
+    return _head(status, {**fields, "Connection": "close"})
 
 
 def _head(status, headers):
@@ -40,19 +40,20 @@
 
 
 class Endpoint:
-    """Reads one request a connection, then follows its script.
+    """Reads one request per connection, then executes its script.
 
     Parameters
     ----------
     script : callable
-        Takes a `Seen`, returns what to do: bytes to send, a number of
-        seconds to wait, or `RESET`.
+        Takes a `ReceivedRequest` and returns an iterable of steps: bytes
+        to send, seconds to wait, or `RESET`.
 
     Attributes
     ----------
-    seen : list of Seen
+    seen : list of ReceivedRequest
+        Requests received.
     left : int
-        Connections that the other side closed before the script's end.
+        Connections that the client closed before the script ended.
     """
 
     def __init__(self, script):
@@ -84,23 +85,23 @@
                     writer.write(step)
                     await writer.drain()
                     continue
-                await self._wait(reader, step)
+                await self._wait_open(reader, step)
         except (ConnectionError, asyncio.IncompleteReadError):
             self.left += 1
         finally:
             writer.close()
 
-    async def _wait(self, reader, seconds):
+    async def _wait_open(self, reader, seconds):
         try:
             async with asyncio.timeout(seconds):
                 if not await reader.read(1):
-                    raise ConnectionError("closed by the other side")
+                    raise ConnectionError("closed by the client")
         except TimeoutError:
             return
 
 
 def _reset(writer):
-    # With no time to linger a close sends a reset.
+    # With a linger time of zero, closing the socket sends a reset.
     sock = writer.get_extra_info("socket")
     linger = struct.pack("ii", 1, 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -118,4 +119,4 @@
     body = b""
     if "content-length" in headers:
         body = await reader.readexactly(int(headers["content-length"]))
-    return Seen(method, target, headers, body)
+    return ReceivedRequest(method, target, headers, body)
--- a/standins/services.py
+++ b/standins/services.py
@@ -1,4 +1,4 @@
-"""Stand-ins for pools of encoders and the like, and plain services."""
+"""Stand-ins for pooled endpoints, such as encoders, and plain services."""
 
 import asyncio
 import collections
@@ -12,27 +12,27 @@
 
 
 def identity(body):
-    """Return the three names that tie an answer to its call."""
+    """Return the three fields that match an answer to its call."""
     return {name: body[name] for name in ("request", "stage", "attempt")}
 
 
 class Pool:
-    """Answers a call with its payload, marked with the stage.
+    """Answers a call with its payload and the name of the stage.
 
     Parameters
     ----------
     faults : Faults
     slots : int
-        Calls served at a time; more wait.
+        Maximum concurrent calls; others wait.
     seconds : float
-        Time of one call.
+        Duration of one call.
     """
 
     def __init__(self, *, faults, slots, seconds):
         self._faults = faults
         self._slots = asyncio.Semaphore(slots)
-        self._seconds = seconds
-        self._last = None
+        self._call_s = seconds
+        self._last_answer = None
         self.served = 0
         self.cancelled = set()
 
@@ -49,11 +49,11 @@
         """Serve one call."""
         body = await http.json()
         async with self._slots:
-            seconds = self._time_of(body["payload"])
+            seconds = self._duration_of(body["payload"])
             await asyncio.sleep(seconds * self._faults.slow)
         self.served += 1
         answer = {**identity(body), "output": self.output(body)}
-        answer, self._last = self._maybe_swapped(answer), answer
+        answer, self._last_answer = self._apply_identity_faults(answer), answer
         return web.json_response(answer)
 
     def output(self, body):
@@ -61,7 +61,7 @@
         return {"stage": body["stage"], "of": body["payload"]}
 
     async def cancel(self, http):
-        """Note a cancelled attempt."""
+        """Record a cancelled attempt."""
         body = await http.json()
         self.cancelled.add(body["attempt"])
         return web.json_response({"cancelled": True})
@@ -71,28 +71,29 @@
         return web.json_response({"served": self.served})
 
     async def counts(self, _http):
-        """Report what was served, for tests."""
+        """Report the calls served and cancelled, for tests."""
         return web.json_response(
             {"served": self.served, "cancelled": len(self.cancelled)}
         )
 
-    def _time_of(self, payload):
-        # Lets a measurement choose the time and take it off again.
+    def _duration_of(self, payload):
+        # Lets a benchmark set the duration of each call, so that it can
+        # subtract it from the measured latency.
         if isinstance(payload, dict) and "take_s" in payload:
             return payload["take_s"]
-        return self._seconds
+        return self._call_s
 
-    def _maybe_swapped(self, answer):
+    def _apply_identity_faults(self, answer):
         if self._faults.hits(self._faults.spec.get("other_attempt", 0.0)):
             return {**answer, "attempt": "given up"}
         share = self._faults.spec.get("swap", 0.0)
-        if self._last is not None and self._faults.hits(share):
-            return self._last
+        if self._last_answer is not None and self._faults.hits(share):
+            return self._last_answer
         return answer
 
 
 class PlainService(Pool):
-    """Counts how often each key ran; can be asked what became of a key."""
+    """Counts executions by idempotency key; the outcome can be looked up."""
 
     def __init__(self, *, faults, slots, seconds):
         super().__init__(faults=faults, slots=slots, seconds=seconds)
@@ -110,7 +111,7 @@
         ]
 
     def output(self, body):
-        """Run the call's effect and return its output."""
+        """Execute the call and return its output."""
         key = body.get("key")
         if key is None:
             return super().output(body)
@@ -122,7 +123,7 @@
         return output
 
     async def look_up(self, http):
-        """Tell what became of a key."""
+        """Answer with the outcome recorded for a key."""
         body = await http.json()
         key = body["key"]
         if key not in self._runs:
@@ -132,17 +133,17 @@
         )
 
     async def runs(self, _http):
-        """Report how often each key ran."""
+        """Report the number of executions of each key."""
         return web.json_response(self._runs)
 
     async def log(self, _http):
-        """Report each run of a key: which request, attempt, and when."""
+        """Report each execution: its key, request, attempt and time."""
         return web.json_response(self._log)
 
 
 @registry.KINDS.register("pool")
 def pool(spec, faults):
-    """Make one endpoint of a pool."""
+    """Create one endpoint of a pool."""
     return Pool(
         faults=faults,
         slots=spec.get("slots", 8),
@@ -152,7 +153,7 @@
 
 @registry.KINDS.register("plain")
 def plain(spec, faults):
-    """Make one endpoint of a plain service."""
+    """Create one endpoint of a plain service."""
     return PlainService(
         faults=faults,
         slots=spec.get("slots", 8),
--- a/standins/table.py
+++ b/standins/table.py
@@ -13,23 +13,23 @@
 
 
 class TableStore:
-    """Rows with versions, and transactions on them.
+    """Versioned rows with conditional transactions.
 
     Parameters
     ----------
     faults : Faults
     reads_per_s, writes_per_s : float
-        Calls beyond these are refused with status 429.
+        Rate limits; calls above them are refused with status 429.
     """
 
     def __init__(self, *, faults, reads_per_s, writes_per_s):
         self._faults = faults
         self._limits = {"reads": reads_per_s, "writes": writes_per_s}
         self._window = (0, collections.Counter())
-        self._before = {}
+        self._previous_rows = {}
         self._rows = {}
         self._keys = []
-        self._versions = 0
+        self._last_version = 0
         self.counters = collections.Counter()
 
     def routes(self):
@@ -43,21 +43,21 @@
 
     async def read(self, http):
         """Answer with one row."""
-        if self._count("reads"):
-            return _too_many()
+        if self._exceeds_limit("reads"):
+            return _too_many_requests()
         key = http.match_info["key"]
         row = self._row(key)
         if self._faults.hits(self._faults.spec.get("stale", 0.0)):
             self.counters["stale_reads"] += 1
-            row = self._before.get(key, row)
+            row = self._previous_rows.get(key, row)
         if not row["version"]:
             return web.json_response({"error": "no row"}, status=404)
         return web.json_response(row)
 
     async def scan(self, http):
-        """Answer with the rows of a prefix after a key."""
-        if self._count("reads"):
-            return _too_many()
+        """Answer with the rows of a key prefix that follow a given key."""
+        if self._exceeds_limit("reads"):
+            return _too_many_requests()
         prefix = http.query["prefix"]
         after = http.query.get("after", "")
         limit = int(http.query.get("limit", "1000"))
@@ -72,10 +72,10 @@
         return web.json_response({"rows": rows})
 
     async def transact(self, http):
-        """Write all rows or none."""
+        """Write all rows, or none if any version does not match."""
         body = await http.json()
-        if self._count("writes"):
-            return _too_many()
+        if self._exceeds_limit("writes"):
+            return _too_many_requests()
         stale = [
             write["key"]
             for write in body["writes"]
@@ -88,7 +88,7 @@
         return web.json_response({"versions": versions})
 
     async def counts(self, _http):
-        """Answer with how often the service was used."""
+        """Answer with the numbers of calls and rows."""
         return web.json_response(
             {
                 "reads": 0,
@@ -98,16 +98,16 @@
             }
         )
 
-    def _count(self, what):
-        """Count a call; return whether it is one too many."""
+    def _exceeds_limit(self, operation):
+        """Count a call; return whether it exceeds the rate limit."""
         second = int(time.monotonic())
         if second != self._window[0]:
             self._window = (second, collections.Counter())
-        self._window[1][what] += 1
-        if self._window[1][what] > self._limits[what]:
-            self.counters[f"refused_{what}"] += 1
+        self._window[1][operation] += 1
+        if self._window[1][operation] > self._limits[operation]:
+            self.counters[f"refused_{operation}"] += 1
             return True
-        self.counters[what] += 1
+        self.counters[operation] += 1
         return False
 
     def _version(self, key):
@@ -119,21 +119,21 @@
 
     def _put(self, write):
         key = write["key"]
-        self._before[key] = self._row(key)
+        self._previous_rows[key] = self._row(key)
         if write["value"] is None:
             if self._rows.pop(key, None) is not None:
                 del self._keys[bisect.bisect_left(self._keys, key)]
             return 0
         if key not in self._rows:
             bisect.insort(self._keys, key)
-        self._versions += 1
-        self._rows[key] = (write["value"], self._versions)
-        return self._versions
+        self._last_version += 1
+        self._rows[key] = (write["value"], self._last_version)
+        return self._last_version
 
 
 @registry.KINDS.register("table")
 def table(spec, faults):
-    """Make a table service."""
+    """Create a table service."""
     return TableStore(
         faults=faults,
         reads_per_s=spec.get("reads_per_s", math.inf),
@@ -141,5 +141,5 @@
     )
 
 
-def _too_many():
+def _too_many_requests():
     return web.json_response({"error": "too many"}, status=429)
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -11,12 +11,12 @@
 
 
 class WeightStore:
-    """Hands out weights, so many bytes a second for everybody.
+    """Serves model weights at a rate shared by all callers.
 
     Parameters
     ----------
     rate : float
-        Bytes a second.
+        Total bytes per second.
     """
 
     def __init__(self, *, rate):
@@ -25,8 +25,8 @@
         self._running = 0
         self.loads = 0
         self.bytes = 0.0
-        self.most = 0
-        self.worst_s = 0.0
+        self.max_running = 0
+        self.max_wait_s = 0.0
 
     def routes(self):
         """Return the routes of the service."""
@@ -36,7 +36,7 @@
         ]
 
     async def get(self, http):
-        """Answer once the bytes would have come."""
+        """Answer after the time that the transfer would take."""
         size = float(http.query.get("size", "1000"))
         now = time.monotonic()
         start = max(now, self._free_at)
@@ -44,8 +44,8 @@
         self.loads += 1
         self.bytes += size
         self._running += 1
-        self.most = max(self.most, self._running)
-        self.worst_s = max(self.worst_s, self._free_at - now)
+        self.max_running = max(self.max_running, self._running)
+        self.max_wait_s = max(self.max_wait_s, self._free_at - now)
         try:
             await asyncio.sleep(self._free_at - now)
         finally:
@@ -53,18 +53,18 @@
         return web.json_response({"size": size})
 
     async def counts(self, _http):
-        """Answer with loads and bytes, most at a time, longest wait."""
+        """Answer with loads, bytes, peak concurrency and longest wait."""
         return web.json_response(
             {
                 "loads": self.loads,
                 "bytes": self.bytes,
-                "most": self.most,
-                "worst_s": self.worst_s,
+                "most": self.max_running,
+                "worst_s": self.max_wait_s,
             }
         )
 
 
 @registry.KINDS.register("weights")
 def weights(spec, faults):
-    """Make a weight store."""
+    """Create a weight store."""
     return WeightStore(rate=spec.get("rate", 1e6))
--- a/sycamoreshed/platform/tests/test_store.py
+++ b/sycamoreshed/platform/tests/test_store.py
@@ -14,8 +14,8 @@
 class ChangingStore(platformstore.PlatformStore):
     """Changes a row of the first page once that page was read."""
 
-    def _told(self, **more):
-        answer = super()._told(**more)
+    def _answer(self, **more):
+        answer = super()._answer(**more)
         if more.get("has_more"):
             self.put(TABLE, "i-000", "draining")
         return answer
--- a/testkit/__init__.py
+++ b/testkit/__init__.py
@@ -1,1 +1,1 @@
-"""Builders, real processes and the fault-injecting proxy for tests."""
+"""Test support: builders, daemon processes, fakes and a faulty proxy."""
--- a/testkit/ballots.py
+++ b/testkit/ballots.py
@@ -1,4 +1,4 @@
-"""Casting ballots through real daemons, for tests and the bench."""
+"""Ballot requests through real daemons, for tests and benchmarks."""
 
 import asyncio
 import contextlib
@@ -13,21 +13,21 @@
 from testkit import processes
 
 BALLOTS = ("ballot-1", "ballot-2")
-LIMIT_S = 30
-REFUSED = 503
+POLL_TIMEOUT_S = 30
+REFUSED_STATUS = 503
 
 
 class Told(typing.NamedTuple):
-    """What a caller was told; all None if the connection broke."""
+    """The answer to a caller; all None if the connection broke."""
 
     status: int | None
     outcome: str | None
     raw: bytes | None
 
 
-async def _fetch(cluster, method, url, **named):
+async def _fetch(cluster, method, url, **options):
     try:
-        async with cluster.session.request(method, url, **named) as answer:
+        async with cluster.session.request(method, url, **options) as answer:
             outcome = answer.headers.get("Outcome")
             return Told(answer.status, outcome, await answer.read())
     except aiohttp.ClientError:
@@ -50,7 +50,7 @@
     Parameters
     ----------
     repeat : bool, optional
-        What the caller tells of earlier requests with the key.
+        Whether the caller declares an earlier request with the key.
     """
     address = cluster.daemons[index].public
     headers = {
@@ -67,7 +67,7 @@
 
 
 async def ask(cluster, index, key, *, pipeline="ballot"):
-    """Ask by key what became of a ballot."""
+    """Look up the outcome of a ballot by its key."""
     address = cluster.daemons[index].public
     path = f"/v1/pipelines/{pipeline}/keys/{urllib.parse.quote(key, safe='')}"
     return await _fetch(
@@ -79,16 +79,16 @@
 
 
 async def log(cluster, key=None):
-    """Return the runs of a key, or all, as the endpoints logged them."""
+    """Return the executions that the endpoints logged, by key or all."""
     runs = []
     for name in BALLOTS:
         runs += await cluster.get(name, "/log")
-    named = f"gaucho/{key}"
-    return [run for run in runs if key is None or run["key"] == named]
+    scoped_key = f"gaucho/{key}"
+    return [run for run in runs if key is None or run["key"] == scoped_key]
 
 
 async def state_of(cluster, key):
-    """Return the state of a record as the table has it, or None."""
+    """Return the state of a stored idempotency record, or None."""
     rows = (await cluster.get("table", "/scan?prefix=once/"))["rows"]
     for row in rows:
         if row["key"].endswith(f"/{key}"):
@@ -97,7 +97,7 @@
 
 
 async def metric(cluster, index, name):
-    """Return the value of one sample of a daemon's metrics, or zero."""
+    """Return one sample of a daemon's metrics, or zero if absent."""
     url = f"http://{cluster.daemons[index].public}/metrics"
     async with cluster.session.get(url) as answer:
         for line in (await answer.text()).splitlines():
@@ -107,61 +107,63 @@
 
 
 async def until(func, *args):
-    """Poll until the result of a coroutine function is true."""
-    async with asyncio.timeout(LIMIT_S):
+    """Poll a coroutine function until its result is true; return it."""
+    async with asyncio.timeout(POLL_TIMEOUT_S):
         while not (result := await func(*args)):
             await asyncio.sleep(0.01)
         return result
 
 
 async def cast_until_sent(cluster, index, key):
-    """Come again for as long as the answer is a refusal."""
+    """Retry while the ballot is refused or has not run; return the answer."""
 
-    async def sent():
-        told = await cast(cluster, index, key)
-        is_refused = told.outcome == "not-run" or told.status == REFUSED
-        return None if is_refused else told
+    async def attempt():
+        result = await cast(cluster, index, key)
+        is_refused = (
+            result.outcome == "not-run" or result.status == REFUSED_STATUS
+        )
+        return None if is_refused else result
 
-    return await until(sent)
+    return await until(attempt)
 
 
 async def until_complete(cluster, index, key):
-    """Come again as told until the answer is complete."""
+    """Retry until the outcome is complete; return the answer."""
 
-    async def complete():
-        told = await cast(cluster, index, key)
-        return told if told.outcome == "complete" else None
+    async def attempt():
+        result = await cast(cluster, index, key)
+        return result if result.outcome == "complete" else None
 
-    return await until(complete)
+    return await until(attempt)
 
 
 async def open_breakers(cluster):
-    """Cast other ballots until each instance takes the store for away."""
+    """Cast other ballots until each instance treats the store as down."""
     for index in range(len(cluster.daemons)):
-        async with asyncio.timeout(LIMIT_S):
-            told = None
-            while told is None or told.status != 503:
-                told = await cast(cluster, index, "other", ms=300)
+        async with asyncio.timeout(POLL_TIMEOUT_S):
+            result = None
+            while result is None or result.status != 503:
+                result = await cast(cluster, index, "other", ms=300)
 
 
 @contextlib.asynccontextmanager
 async def stand_ins_stopped(cluster, seconds):
-    """Stop the process of all stand-ins; it goes on before the block ends.
+    """Suspend the process of all stand-ins; it resumes before the block ends.
 
     Parameters
     ----------
     cluster : Cluster
     seconds : float
-        From the beginning of the block.
+        Duration, from the beginning of the block.
     """
     host = cluster.host
     host.send_signal(signal.SIGSTOP)
 
-    async def go_on():
+    async def resume():
         await asyncio.sleep(seconds)
         host.send_signal(signal.SIGCONT)
 
-    task = asyncio.create_task(go_on())
+    task = asyncio.create_task(resume())
     try:
         yield
     finally:
@@ -169,19 +171,19 @@
 
 
 def hold(cluster, names, held):
-    """Hold, or let go, the answers of some stand-ins."""
+    """Withhold or release the answers of some stand-ins."""
     for name in names:
         cluster.proxies[name].hold_answers = held
 
 
 def hold_from(cluster, names, instances):
-    """Hold the answers of some stand-ins to these daemons only.
+    """Withhold the answers of some stand-ins from these daemons only.
 
     Parameters
     ----------
     names : iterable of str
     instances : list of int
-        Which daemons; an empty list lets all go.
+        Indexes of the daemons; an empty list releases all answers.
     """
     sources = {cluster.daemons[index].source for index in instances}
     for name in names:
@@ -190,7 +192,7 @@
 
 @contextlib.asynccontextmanager
 async def cluster(*, daemons=2, lookup=True, **changes):
-    """Run daemons with a pipeline whose middle stage may not be repeated."""
+    """Run daemons with a pipeline whose middle stage is not repeatable."""
     async with processes.cluster(
         daemons=daemons, proxied=True, **changes
     ) as running:
@@ -211,11 +213,11 @@
         )
         assert status == 200, body
         for daemon in running.daemons:
-            await until(_has_version, running, daemon, body["version"])
+            await until(_has_config_version, running, daemon, body["version"])
         yield running
 
 
-async def _has_version(running, daemon, version):
+async def _has_config_version(running, daemon, version):
     url = f"http://{daemon.control}/control/status"
     async with running.session.get(url) as answer:
         return (await answer.json())["version"] >= version
--- a/testkit/builders.py
+++ b/testkit/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data."""
+"""Builders of configurations, release notes and settings for tests."""
 
 import copy
 import itertools
@@ -59,13 +59,13 @@
 
 
 def note(base, *, author="ana", **parts):
-    """Return a release note with an id of its own."""
+    """Return a release note with a unique id."""
     number = next(_numbers)
     return {"id": f"note-{number}", "base": base, "author": author, **parts}
 
 
 def first_note(endpoints, *, placements=None):
-    """Return the note that sets up regions, services and so on."""
+    """Return the release note that creates the initial configuration."""
     added = copy.deepcopy(
         {
             "regions": REGIONS,
@@ -87,7 +87,7 @@
 
 
 def settings_document(platform, *, public, control, **changes):
-    """Return a settings document of a daemon.
+    """Return the settings document of a daemon.
 
     Parameters
     ----------
--- a/testkit/fakes.py
+++ b/testkit/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of a daemon's parts, for tests of one stage."""
+"""Fakes of a daemon's components, for tests of a single stage."""
 
 import asyncio
 import time
@@ -22,13 +22,14 @@
 
 
 class Client:
-    """Answers calls from a script; hangs on ``...``.
+    """Answers calls from a script; ``...`` waits for the timeout.
 
     Parameters
     ----------
     script : list
-        For unary calls a `StageAnswer`, `Failure` or ``...`` each; for
-        streams a list of `Chunk`, `Failure` or ``...`` each.
+        One item for each call.  For a unary call, a `StageAnswer`, a
+        `Failure` or ``...``; for a stream, a list of these with `Chunk`
+        in place of `StageAnswer`.
 
     Attributes
     ----------
@@ -36,6 +37,7 @@
     cancelled : list of str
         Attempts cancelled.
     cancel_hangs : bool
+        Whether cancellations never return.
     """
 
     def __init__(self, *script):
@@ -63,25 +65,25 @@
             yield item
 
     async def cancel(self, _endpoint, call):
-        """Take a cancel."""
+        """Record a cancellation."""
         self.cancelled.append(call.attempt)
         if self.cancel_hangs:
             await asyncio.Event().wait()
 
 
 class Membership:
-    """Keeps what was reported."""
+    """Records the reported call outcomes."""
 
     def __init__(self):
         self.reports = []
 
     def report(self, endpoint, *, ok, now, seconds=None):
-        """Take in the outcome of one call."""
+        """Record the outcome of one call."""
         self.reports.append((endpoint.name, ok))
 
 
 class Router:
-    """Chooses the first endpoint not tried."""
+    """Chooses the first endpoint that is not to be avoided."""
 
     def __init__(self, *, names):
         self._config = builders.config(
@@ -90,18 +92,18 @@
         self.loads = loads.Loads()
 
     def record_result(self, endpoint, call, result, started_at, now):
-        """Take in how a call ended."""
+        """Record the end of a call."""
         self.loads.record_end(endpoint)
 
     def choose(self, _request, _stage, _now, *, avoid=(), prefix=None):
         """Choose an endpoint for a stage."""
-        every = self._config.endpoints.get("encoder", ())
-        fresh = [item for item in every if item.name not in avoid]
-        return next(iter(fresh or every), None)
+        candidates = self._config.endpoints.get("encoder", ())
+        untried = [item for item in candidates if item.name not in avoid]
+        return next(iter(untried or candidates), None)
 
 
 def request(*, seconds=60.0, config=None, pipeline="summary", key=None):
-    """Return a request whose deadline is in so many seconds."""
+    """Return a request whose deadline is `seconds` from now."""
     return requests.Request(
         id="r1",
         team="gaucho",
@@ -114,12 +116,12 @@
 
 
 def stage_parts(*script, names=("encoder-1", "encoder-2")):
-    """Return the parts a stage is made of, with fakes.
+    """Return the constructor arguments of a stage, with fakes.
 
     Parameters
     ----------
     *script
-        Of the `Client`.
+        Script of the `Client`.
     names : iterable of str
         Names of the endpoints.
     """
@@ -134,7 +136,7 @@
 
 
 def chunks(first, last, *, finish=None):
-    """Return the chunks of tokens `first` to `last`, then the mark."""
+    """Return chunks for tokens `first` to `last - 1`, then the finish."""
     result = [
         endpoints.Chunk(number, f"{number} ") for number in range(first, last)
     ]
--- a/testkit/gateways.py
+++ b/testkit/gateways.py
@@ -1,4 +1,4 @@
-"""Forwarding daemons as real processes, for tests."""
+"""Gateway daemons as real processes, for tests."""
 
 import asyncio
 import contextlib
@@ -14,29 +14,29 @@
 
 __all__ = ["Gateway", "gateways"]
 
-START_S = 20.0
-STOP_S = 15.0
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 15.0
 HOST = "127.0.0.1"
 
 
 class Gateway:
-    """One forwarding daemon.
+    """One gateway daemon as a real process.
 
     Parameters
     ----------
     folder : pathlib.Path
-        For its settings and its log.
+        Directory for the settings file and the log.
     ports : Ports
     document : dict
         Changes to the settings of `wiredata.settings`.
     """
 
     def __init__(self, *, folder, ports, document):
-        taken = {
+        addresses = {
             name: f"{HOST}:{ports.take(HOST)}"
             for name in ("public", "ready", "control")
         }
-        self.document = wiredata.settings(**{**taken, **document})
+        self.document = wiredata.settings(**{**addresses, **document})
         name = self.document["instance"]
         self._settings = folder / f"{name}.json"
         self._log = folder / f"{name}.log"
@@ -57,7 +57,7 @@
         self._settings.write_text(json.dumps(self.document))
 
     async def start(self):
-        """Start the process; it need not be ready yet."""
+        """Start the process without waiting until it is ready."""
         self.write_settings()
         with open(self._log, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -76,16 +76,16 @@
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.send_signal(signal.SIGTERM)
-        return await asyncio.wait_for(self.process.wait(), STOP_S)
+        return await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
 
     async def kill(self):
-        """End the process at once."""
+        """Kill the process."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
 
     def events(self, name):
-        """Return the journal's lines of one event."""
+        """Return the log lines of one event."""
         found = []
         for line in self._log.read_text().splitlines():
             with contextlib.suppress(ValueError):
@@ -95,7 +95,7 @@
         return found
 
     async def is_ready(self):
-        """Return whether it says that it is ready."""
+        """Return whether the daemon reports that it is ready."""
         url = f"http://{self.document['ready']}/ready"
         try:
             async with (
@@ -107,15 +107,15 @@
             return False
 
     async def wait_ready(self):
-        """Wait until it says that it is ready."""
-        async with asyncio.timeout(START_S):
+        """Wait until the daemon reports that it is ready."""
+        async with asyncio.timeout(START_TIMEOUT_S):
             while not await self.is_ready():
                 if self.process.returncode is not None:
                     raise RuntimeError(self._log.read_text())
                 await asyncio.sleep(0.05)
 
     async def status(self):
-        """Return what it tells operators."""
+        """Return the operator status of the daemon."""
         url = f"http://{self.control}/control/status"
         async with (
             aiohttp.ClientSession() as session,
@@ -126,13 +126,13 @@
 
 @contextlib.asynccontextmanager
 async def gateways(folder, documents):
-    """Run forwarding daemons; end them at the end of the block.
+    """Run gateway daemons; kill them at the end of the block.
 
     Parameters
     ----------
     folder : pathlib.Path
     documents : list of dict
-        Changes to the settings of each.
+        Changes to the settings of each daemon.
     """
     ports = processes.Ports()
     found = [
--- a/testkit/journals.py
+++ b/testkit/journals.py
@@ -1,4 +1,4 @@
-"""A journal that keeps what is written to it, for tests."""
+"""An event journal that records events in memory, for tests."""
 
 from sycamoreshed.observe import events
 
@@ -6,17 +6,17 @@
 
 
 class Journal:
-    """Keeps events; refuses names and fields that are not registered."""
+    """Records events; rejects unregistered names and fields."""
 
     def __init__(self):
         self.lines = []
 
     def write(self, name, **fields):
-        """Keep one event."""
-        known = [
+        """Record one event."""
+        registered = [
             each.strip() for each in events.EVENTS[name].fields.split(",")
         ]
-        unknown = set(fields) - set(known)
+        unknown = set(fields) - set(registered)
         if unknown:
             raise AssertionError(f"{name} has no fields {sorted(unknown)}")
         self.lines.append((name, fields))
--- a/testkit/proc.py
+++ b/testkit/proc.py
@@ -1,4 +1,4 @@
-"""What the system tells about a running process."""
+"""Resource usage of a running process, from ``/proc``."""
 
 import os
 import pathlib
@@ -6,11 +6,11 @@
 
 __all__ = ["Usage", "fields", "usage"]
 
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class Usage(typing.NamedTuple):
-    """Processor seconds since the start, and resident bytes."""
+    """CPU seconds since the start of a process, and resident bytes."""
 
     seconds: float
     resident: int
@@ -19,13 +19,13 @@
 def usage(pid):
     """Return the `Usage` of a process."""
     root = pathlib.Path("/proc") / str(pid)
-    found = fields(root)
-    return Usage(_run_seconds(root), int(found[21]) * PAGE)
+    stat = fields(root)
+    return Usage(_run_seconds(root), int(stat[21]) * PAGE_BYTES)
 
 
 def _run_seconds(root):
-    # In nanoseconds for each thread; the ticks of `stat` are too coarse
-    # for a short run.
+    # `schedstat` has nanoseconds for each thread; the clock ticks of
+    # `stat` are too coarse for a short run.
     return (
         sum(
             int((task / "schedstat").read_text().split()[0])
@@ -36,6 +36,6 @@
 
 
 def fields(root):
-    """Return what `/proc/PID/stat` tells, from the third field on."""
-    # The second field may hold spaces.
+    """Return the fields of `/proc/PID/stat` from the third on."""
+    # The second field, the command name, may contain spaces.
     return (root / "stat").read_text().rpartition(")")[2].split()
--- a/testkit/processes.py
+++ b/testkit/processes.py
@@ -1,4 +1,4 @@
-"""Real processes for tests: daemons and hosts of stand-ins."""
+"""Daemons and stand-ins as real processes, for tests."""
 
 import asyncio
 import contextlib
@@ -19,46 +19,46 @@
 
 __all__ = ["Cluster", "Daemon", "cluster", "free_port"]
 
-START_S = 20.0
-START_AT_ONCE = 4
-STOP_S = 40.0
+START_TIMEOUT_S = 20.0
+MAX_CONCURRENT_STARTS = 4
+STOP_TIMEOUT_S = 40.0
 HOST = "127.0.0.1"
 PROGRAM = (sys.executable, "-m", "sycamoreshed")
 
 
 def free_port(host=HOST):
-    """Ask the system for a port nobody uses."""
+    """Return a port that is currently unused."""
     with socket.socket() as probe:
         probe.bind((host, 0))
         return probe.getsockname()[1]
 
 
 class Ports:
-    """Ports kept for daemons until the end of a test.
+    """Ports reserved for daemons until the end of a test.
 
     Notes
     -----
-    A port that is merely looked up can be taken by an outgoing
-    connection before the daemon listens on it.  A socket that is bound
-    and does not listen keeps it from that, and does not hinder a
-    listener, since both allow the reuse of the address.
+    A port that is only looked up can be assigned to an outgoing
+    connection before the daemon listens on it.  A bound socket that does
+    not listen prevents this, and does not block the listener, because
+    both set ``SO_REUSEADDR``.
     """
 
     def __init__(self):
         self._sockets = []
 
     def take(self, host):
-        """Return a port that stays reserved."""
-        holder = socket.socket()
-        holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        holder.bind((host, 0))
-        self._sockets.append(holder)
-        return holder.getsockname()[1]
+        """Reserve a port and return it."""
+        reserved = socket.socket()
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.bind((host, 0))
+        self._sockets.append(reserved)
+        return reserved.getsockname()[1]
 
     def close(self):
-        """Give all ports back."""
-        for holder in self._sockets:
-            holder.close()
+        """Release all ports."""
+        for reserved in self._sockets:
+            reserved.close()
 
 
 class Daemon:
@@ -67,13 +67,13 @@
     Parameters
     ----------
     document : dict
-        Its settings.
+        Settings document.
     folder : pathlib.Path
-        Where settings and log go.
+        Directory for the settings file and the log.
     program : sequence of str
-        How to run it.
+        Command that runs the daemon.
     env : dict, optional
-        Added to the environment.
+        Additional environment variables.
     """
 
     def __init__(self, *, document, folder, program=PROGRAM, env=None):
@@ -96,12 +96,12 @@
 
     @property
     def source(self):
-        """Address its connections come from."""
+        """Source address of its connections."""
         return self.document["control"].rpartition(":")[0]
 
     @property
     def lines(self):
-        """Log lines so far, decoded."""
+        """Decoded log lines so far."""
         result = []
         for line in self._log.read_text().splitlines():
             with contextlib.suppress(ValueError):
@@ -109,7 +109,7 @@
         return result
 
     async def start(self):
-        """Start the process and wait until it answers."""
+        """Start the process and wait until it is healthy."""
         path = self._folder / f"{self.document['instance']}.json"
         path.write_text(json.dumps(self.document))
         with open(self._log, "ab") as log:
@@ -125,7 +125,7 @@
         await self._wait_for("/healthz")
 
     async def wait_ready(self):
-        """Wait until callers would be sent here."""
+        """Wait until the daemon is ready for traffic."""
         await self._wait_for("/readyz")
 
     def send_signal(self, number):
@@ -137,10 +137,10 @@
         if self.process.returncode is None:
             self.send_signal(signal.SIGCONT)
             self.send_signal(signal.SIGTERM)
-        return await asyncio.wait_for(self.process.wait(), STOP_S)
+        return await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
 
     async def kill(self):
-        """End the process at once."""
+        """Kill the process."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
@@ -148,7 +148,7 @@
     async def _wait_for(self, path):
         url = f"http://{self.public}{path}"
         async with (
-            asyncio.timeout(START_S),
+            asyncio.timeout(START_TIMEOUT_S),
             aiohttp.ClientSession() as session,
         ):
             while True:
@@ -167,13 +167,13 @@
     Parameters
     ----------
     addresses : dict of str to str
-        Of the stand-ins, by name.
+        Addresses of the stand-ins by name.
     daemons : list of Daemon
     session : aiohttp.ClientSession
     host : asyncio.subprocess.Process
-        The process of the stand-ins.
+        Process that hosts the stand-ins.
     proxies : dict of str to Proxy
-        By name of the stand-in or daemon behind; empty unless asked for.
+        Proxies by name of their stand-in or daemon; empty unless enabled.
     """
 
     addresses: dict
@@ -183,12 +183,12 @@
     proxies: dict
 
     def cut(self, instances, names):
-        """Cut daemons off from what stands behind some proxies.
+        """Partition daemons from the targets of some proxies.
 
         Parameters
         ----------
         instances : list of int
-            Which daemons; an empty list heals.
+            Indexes of the daemons; an empty list ends the partition.
         names : iterable of str
             Names of stand-ins or daemons.
         """
@@ -202,17 +202,17 @@
         Parameters
         ----------
         index : int
-            Which daemon.
+            Index of the daemon.
         **headers
-            With underscores for dashes.
+            Request headers, with underscores for dashes.
         """
         address = self.daemons[index].public
-        named = {name.replace("_", "-"): headers[name] for name in headers}
-        named.setdefault("Team", "gaucho")
+        fields = {name.replace("_", "-"): headers[name] for name in headers}
+        fields.setdefault("Team", "gaucho")
         async with self.session.post(
             f"http://{address}/v1/pipelines/{pipeline}",
             json=body,
-            headers=named,
+            headers=fields,
         ) as answer:
             return answer.status, answer.headers, await answer.json()
 
@@ -244,7 +244,7 @@
 
 
 def endpoint_specs(per_service=2):
-    """Return stand-in specifications for the services of the builders."""
+    """Return specifications of stand-ins for `builders.SERVICES`."""
     specs = []
     for service, spec in builders.SERVICES.items():
         for number in range(1, per_service + 1):
@@ -254,7 +254,7 @@
 
 
 async def start_host(specs):
-    """Start a process of stand-ins; return it and the addresses."""
+    """Start a host of stand-ins; return its process and the addresses."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -264,7 +264,7 @@
     )
     process.stdin.write(json.dumps(specs).encode() + b"\n")
     await process.stdin.drain()
-    line = await asyncio.wait_for(process.stdout.readline(), START_S)
+    line = await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_S)
     return process, json.loads(line)
 
 
@@ -279,24 +279,25 @@
     env=None,
     **changes,
 ):
-    """Run stand-ins and daemons with the builders' configuration.
+    """Run stand-ins and daemons with the configuration of `builders`.
 
     Parameters
     ----------
     daemons : int
+        Number of daemons; ignored if `zones` is given.
     specs : list of dict, optional
-        Stand-ins beside the platform.
+        Stand-ins in addition to those of the platform.
     zones : list of str, optional
         Zone of each daemon; the region is the part before the dash.
     proxied : bool
-        Put a proxy before each stand-in and each daemon's control
-        address.
+        Put a proxy in front of each stand-in and of each daemon's
+        control address.
     program : sequence of str
-        How to run a daemon.
+        Command that runs a daemon.
     env : dict, optional
-        Added to the environment of each daemon.
+        Additional environment variables of each daemon.
     **changes
-        To the settings of each daemon.
+        Changes to the settings of each daemon.
     """
     specs = endpoint_specs() if specs is None else specs
     zones = zones or ["north-a"] * daemons
@@ -307,12 +308,16 @@
         session = await stack.enter_async_context(aiohttp.ClientSession())
         result = Cluster(addresses, [], session, host, {})
         stack.push_async_callback(_stop, result)
-        reached = dict(addresses)
+        dial_addresses = dict(addresses)
         if proxied:
             for name, address in addresses.items():
-                reached[name] = await _put_proxy(result, name, address)
+                dial_addresses[name] = await _start_proxy(
+                    result, name, address
+                )
         ports = stack.enter_context(contextlib.closing(Ports()))
-        documents = await _documents(result, reached, zones, ports, changes)
+        documents = await _settings_documents(
+            result, dial_addresses, zones, ports, changes
+        )
         for document in documents:
             daemon = Daemon(
                 document=document,
@@ -321,30 +326,32 @@
                 env=env,
             )
             result.daemons.append(daemon)
-        for first in range(0, len(documents), START_AT_ONCE):
-            batch = result.daemons[first : first + START_AT_ONCE]
+        for batch_start in range(0, len(documents), MAX_CONCURRENT_STARTS):
+            batch = result.daemons[
+                batch_start : batch_start + MAX_CONCURRENT_STARTS
+            ]
             await asyncio.gather(*[daemon.start() for daemon in batch])
-        await _configure(result, specs, reached)
+        await _configure(result, specs, dial_addresses)
         yield result
 
 
-async def _documents(running, reached, zones, ports, changes):
+async def _settings_documents(running, dial_addresses, zones, ports, changes):
     documents = []
-    # A network of its own for each cluster: daemons connect from their
-    # own addresses, and a connection of another cluster could otherwise
-    # hold the port that a daemon was given and has not bound yet.
+    # Each cluster uses a separate network.  Daemons connect from their
+    # own addresses, so a connection of another cluster could otherwise
+    # occupy a port that is assigned to a daemon and not bound yet.
     network = f"127.{random.randrange(1, 255)}.{random.randrange(1, 255)}"
     for index, zone in enumerate(zones):
-        # An address of its own, so that proxies can tell daemons apart.
-        own = f"{network}.{index + 1}"
+        # Separate addresses let proxies distinguish the daemons.
+        own_ip = f"{network}.{index + 1}"
         name = f"entry-{index + 1}"
-        control = f"{own}:{ports.take(own)}"
+        control = f"{own_ip}:{ports.take(own_ip)}"
         advertise = control
         if "table" in running.proxies:
-            advertise = await _put_proxy(running, name, control)
+            advertise = await _start_proxy(running, name, control)
         document = builders.settings_document(
-            reached,
-            public=f"{own}:{ports.take(own)}",
+            dial_addresses,
+            public=f"{own_ip}:{ports.take(own_ip)}",
             control=control,
             advertise=advertise,
             instance=name,
@@ -353,13 +360,13 @@
             **changes,
         )
         documents.append(document)
-    first = [document["advertise"] for document in documents]
+    peers = [document["advertise"] for document in documents]
     for document in documents:
-        document.setdefault("peers", first)
+        document.setdefault("peers", peers)
     return documents
 
 
-async def _put_proxy(running, name, address):
+async def _start_proxy(running, name, address):
     proxy = proxies.Proxy(target=address)
     await proxy.start()
     running.proxies[name] = proxy
@@ -377,11 +384,11 @@
     await running.host.wait()
 
 
-async def _configure(running, specs, reached):
+async def _configure(running, specs, dial_addresses):
     endpoints = {}
     for spec in specs:
         endpoints[spec["name"]] = builders.endpoint_spec(
-            reached[spec["name"]],
+            dial_addresses[spec["name"]],
             spec.get("service", spec["name"].rpartition("-")[0]),
             zone=spec.get("zone", "north-a"),
             slots=spec.get("slots", 8),
--- a/testkit/proxy.py
+++ b/testkit/proxy.py
@@ -1,8 +1,8 @@
-"""A small fault-injecting TCP proxy, run inside the test's process.
+"""A fault-injecting TCP proxy that runs in the process of the test.
 
-A proxy stands before one listening address.  Since each daemon connects
-from an address of its own, a proxy can treat sources differently, which
-is how zones are cut off from each other.
+Each proxy forwards to one listening address.  Daemons connect from
+separate source addresses, so a proxy can apply faults by source.  Tests
+use this to simulate network partitions between zones.
 """
 
 import asyncio
@@ -10,39 +10,39 @@
 
 __all__ = ["Proxy"]
 
-CHUNK = 65536
-POLL_S = 0.02
+CHUNK_BYTES = 65536
+POLL_INTERVAL_S = 0.02
 
 
 class Proxy:
-    """Forwards connections, and shows the faults it is told to.
+    """Forwards connections and injects the configured faults.
 
     Parameters
     ----------
     target : str
-        ``IP:port`` of what stands behind.
+        ``IP:port`` to forward to.
     host : str
         Address to listen on.
 
     Attributes
     ----------
     delay_s : float
-        Added before each piece, in both directions.
+        Delay before each chunk, in both directions.
     refuse : bool
         Close new and open connections at once.
     freeze : bool
         Keep connections open and forward nothing.
     hold_answers : bool
-        Forward requests, and keep answers until it is unset.
+        Forward requests, but withhold answers until this is unset.
     held_sources : set of str
-        Source addresses that are treated as with `hold_answers`.
+        Source addresses to which `hold_answers` applies.
     lose_answers : int
-        That many next answers are swallowed and their connection closed,
-        after the request was forwarded; -1 for all.
+        Number of next answers to drop, closing their connections after
+        the request was forwarded; -1 for all.
     blocked : set of str
-        Source addresses that are treated as with `freeze`.
+        Source addresses to which `freeze` applies.
     bytes_in, bytes_out : int
-        Forwarded to and from the target.
+        Bytes forwarded to and from the target.
     """
 
     def __init__(self, *, target, host="127.0.0.1"):
@@ -62,16 +62,16 @@
 
     @property
     def address(self):
-        """Where the proxy listens."""
+        """Address that the proxy listens on."""
         host, port = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     async def start(self):
-        """Begin to listen on a port the system chooses."""
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, self._host, 0)
 
     async def stop(self):
-        """Stop, and close all connections."""
+        """Stop listening and close all connections."""
         self._server.close()
         for task in list(self._tasks):
             task.cancel()
@@ -90,7 +90,7 @@
 
     async def _forward(self, reader, writer):
         source = writer.get_extra_info("peername")[0]
-        await self._gate(source)
+        await self._wait_while_frozen(source)
         if self.refuse:
             return
         host, _, port = self._target.rpartition(":")
@@ -109,26 +109,26 @@
 
     async def _pump(self, reader, writer, source, is_answer):
         with contextlib.suppress(OSError):
-            while data := await reader.read(CHUNK):
-                await self._gate(source)
-                while is_answer and self._holds(source):
-                    await asyncio.sleep(POLL_S)
+            while data := await reader.read(CHUNK_BYTES):
+                await self._wait_while_frozen(source)
+                while is_answer and self._is_held(source):
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                if self.refuse or (is_answer and self._swallows()):
+                if self.refuse or (is_answer and self._drops_answer()):
                     return
                 writer.write(data)
                 await writer.drain()
                 self._count(len(data), is_answer)
 
-    async def _gate(self, source):
+    async def _wait_while_frozen(self, source):
         while self.freeze or source in self.blocked:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _holds(self, source):
+    def _is_held(self, source):
         return self.hold_answers or source in self.held_sources
 
-    def _swallows(self):
+    def _drops_answer(self):
         if self.lose_answers > 0:
             self.lose_answers -= 1
             return True
--- a/testkit/tests/test_proc.py
+++ b/testkit/tests/test_proc.py
@@ -1,4 +1,4 @@
-"""The look at a process must see what it looks for."""
+"""Process inspection detects children, shared memory and CPU usage."""
 
 import mmap
 import os
@@ -10,7 +10,7 @@
 
 
 def test_children_are_seen_before_and_after_they_end():
-    """A daemon that started a process would pass a blind check."""
+    """A check that misses children would pass a daemon that starts one."""
     before = footprints.footprint(os.getpid())
     child = subprocess.Popen([sys.executable, "-c", "input()"], stdin=-1)
     during = footprints.footprint(os.getpid())
--- a/testkit/tests/test_proxy.py
+++ b/testkit/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy must show the faults it claims, or tests prove nothing."""
+"""The proxy injects its faults; tests that rely on them depend on this."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 @contextlib.asynccontextmanager
 async def echo():
-    """Run an echo server and a proxy before it."""
+    """Run an echo server behind a proxy."""
     received = []
 
     async def serve(reader, writer):
--- a/testkit/virtualtime.py
+++ b/testkit/virtualtime.py
@@ -1,4 +1,4 @@
-"""Runs coroutines in simulated time: waits take none, and repeat exactly."""
+"""Runs coroutines deterministically in simulated time, without waiting."""
 
 import asyncio
 import selectors
@@ -7,25 +7,27 @@
 
 
 class _Selector(selectors.DefaultSelector):
-    """Never waits; tells how long it would have."""
+    """Never waits; reports the time it would have waited to `advance`."""
 
-    skip = None
+    advance = None
 
     def select(self, timeout=None):
-        """Return what is ready now, and pass the time over."""
+        """Return what is ready now; advance the clock if nothing is."""
         ready = super().select(0)
         if ready or timeout == 0:
             return ready
         if timeout is None:
-            raise RuntimeError("all tasks wait, and nothing is due")
-        self.skip(timeout)
+            raise RuntimeError(
+                "deadlock: all tasks wait and no timer is scheduled"
+            )
+        self.advance(timeout)
         return ready
 
 
 class _Loop(asyncio.SelectorEventLoop):
     def __init__(self):
         selector = _Selector()
-        selector.skip = self._skip
+        selector.advance = self._advance
         self._now = 0.0
         super().__init__(selector)
 
@@ -33,12 +35,12 @@
         """Return the simulated time in seconds."""
         return self._now
 
-    def _skip(self, seconds):
+    def _advance(self, seconds):
         self._now += seconds
 
 
 def run(main):
-    """Run a coroutine to its end in simulated time; return its result.
+    """Run a coroutine to completion in simulated time; return its result.
 
     Examples
     --------
--- a/testkit/wiredata.py
+++ b/testkit/wiredata.py
@@ -1,4 +1,4 @@
-"""Builders of what the platform's operator and endpoints write."""
+"""Builders of the documents that operators and endpoints write."""
 
 __all__ = [
     "beat",
@@ -46,7 +46,7 @@
 
 
 def piece_service(name, **changes):
-    """Return a service that works on pieces of stages."""
+    """Return a service that processes segments of stages."""
     spec = {
         "slots": 1,
         "queue": 2,
@@ -79,7 +79,7 @@
 
 
 def beat(address, **changes):
-    """Return what an endpoint writes of itself."""
+    """Return the heartbeat record of an endpoint."""
     return {
         "service": "desk",
         "address": address,
@@ -95,7 +95,7 @@
 
 
 def settings(**changes):
-    """Return the settings document of a forwarding instance."""
+    """Return the settings document of a gateway instance."""
     return {
         "instance": "edge-1",
         "region": "north",
