--- a/standins/faults.py
+++ b/standins/faults.py
@@ -78,13 +78,15 @@
         """Factor on processing time."""
         return self.spec.get("slow", 1.0)
 
-    def hits(self, share):
+    def occurs(self, share):
         """Return True with the given probability."""
         return self._random.random() < share
 
     def draw(self, names):
         """Draw which of the named faults one call gets."""
-        return {name for name in names if self.hits(self.spec.get(name, 0.0))}
+        return {
+            name for name in names if self.occurs(self.spec.get(name, 0.0))
+        }
 
     def applies(self, path):
         """Return whether faults are injected on this path."""
@@ -117,11 +119,11 @@
             if "serial_s" in spec:
                 async with self._serial_lock:
                     await asyncio.sleep(spec["serial_s"])
-            if self.hits(spec.get("busy", 0.0)):
+            if self.occurs(spec.get("busy", 0.0)):
                 return web.json_response({"error": "busy"}, status=429)
-            if self.hits(spec.get("fail", 0.0)):
+            if self.occurs(spec.get("fail", 0.0)):
                 return web.json_response({"error": "fault"}, status=500)
-            if "late" in spec and self.hits(spec["late"]):
+            if "late" in spec and self.occurs(spec["late"]):
                 await http.read()
                 self._run_later(handler, http, spec.get("late_s", 0.5))
                 return _abort_connection(http)
@@ -145,7 +147,7 @@
         if spec.get("lose_next", 0) > 0:
             spec["lose_next"] -= 1
             return True
-        return self.hits(spec.get("lose", 0.0))
+        return self.occurs(spec.get("lose", 0.0))
 
 
 def _abort_connection(http):
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -30,7 +30,7 @@
     async def get(self, http):
         """Answer with one object."""
         name = http.match_info["name"]
-        is_stale = self._faults.hits(self._faults.spec.get("stale", 0.0))
+        is_stale = self._faults.occurs(self._faults.spec.get("stale", 0.0))
         raw = (self._previous if is_stale else self._objects).get(name)
         if raw is None:
             return web.json_response({"error": "no object"}, status=404)
--- a/standins/platformstore.py
+++ b/standins/platformstore.py
@@ -129,7 +129,7 @@
 
     async def _get(self, http):
         start = http.query.get("from", "")
-        found = sorted(
+        matching = sorted(
             (
                 row
                 for (table, key), row in self._rows.items()
@@ -138,7 +138,9 @@
             key=lambda row: row["key"].encode(),
         )
         limit = int(http.query.get("limit", 500))
-        return self._answer(rows=found[:limit], has_more=len(found) > limit)
+        return self._answer(
+            rows=matching[:limit], has_more=len(matching) > limit
+        )
 
     async def _feed(self, http):
         after = int(http.query["after"])
@@ -146,14 +148,14 @@
         while True:
             if after < self._compacted_version:
                 return web.json_response({}, status=410)
-            found = {
+            changed = {
                 row["key"]: row
                 for row in self._changes
                 if row["table"] == http.query["table"] and row["ver"] > after
             }
             remaining_s = deadline - time.monotonic()
-            if found or remaining_s <= 0:
-                return self._answer(rows=list(found.values()))
+            if changed or remaining_s <= 0:
+                return self._answer(rows=list(changed.values()))
             try:
                 async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
--- a/standins/services.py
+++ b/standins/services.py
@@ -84,10 +84,10 @@
         return self._call_s
 
     def _apply_identity_faults(self, answer):
-        if self._faults.hits(self._faults.spec.get("other_attempt", 0.0)):
+        if self._faults.occurs(self._faults.spec.get("other_attempt", 0.0)):
             return {**answer, "attempt": "given up"}
         share = self._faults.spec.get("swap", 0.0)
-        if self._last_answer is not None and self._faults.hits(share):
+        if self._last_answer is not None and self._faults.occurs(share):
             return self._last_answer
         return answer
 
--- a/standins/table.py
+++ b/standins/table.py
@@ -47,7 +47,7 @@
             return _too_many_requests()
         key = http.match_info["key"]
         row = self._row(key)
-        if self._faults.hits(self._faults.spec.get("stale", 0.0)):
+        if self._faults.occurs(self._faults.spec.get("stale", 0.0)):
             self.counters["stale_reads"] += 1
             row = self._previous_rows.get(key, row)
         if not row["version"]:
--- a/testkit/gateways.py
+++ b/testkit/gateways.py
@@ -33,7 +33,7 @@
 
     def __init__(self, *, folder, ports, document):
         addresses = {
-            name: f"{HOST}:{ports.take(HOST)}"
+            name: f"{HOST}:{ports.reserve(HOST)}"
             for name in ("public", "ready", "control")
         }
         self.document = wiredata.settings(**{**addresses, **document})
@@ -86,13 +86,13 @@
 
     def events(self, name):
         """Return the log lines of one event."""
-        found = []
+        matching = []
         for line in self._log.read_text().splitlines():
             with contextlib.suppress(ValueError):
                 document = json.loads(line)
                 if document.get("event") == name:
-                    found.append(document)
-        return found
+                    matching.append(document)
+        return matching
 
     async def is_ready(self):
         """Return whether the daemon reports that it is ready."""
@@ -135,16 +135,16 @@
         Changes to the settings of each daemon.
     """
     ports = processes.Ports()
-    found = [
-        Gateway(folder=folder, ports=ports, document=each)
-        for each in documents
+    running = [
+        Gateway(folder=folder, ports=ports, document=document)
+        for document in documents
     ]
     try:
-        for each in found:
-            await each.start()
-        yield found
+        for gateway in running:
+            await gateway.start()
+        yield running
     finally:
-        for each in found:
-            if each.process is not None:
-                await each.kill()
+        for gateway in running:
+            if gateway.process is not None:
+                await gateway.kill()
         ports.close()
--- a/testkit/processes.py
+++ b/testkit/processes.py
@@ -47,7 +47,7 @@
     def __init__(self):
         self._sockets = []
 
-    def take(self, host):
+    def reserve(self, host):
         """Reserve a port and return it."""
         reserved = socket.socket()
         reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -345,13 +345,13 @@
         # Separate addresses let proxies distinguish the daemons.
         own_ip = f"{network}.{index + 1}"
         name = f"entry-{index + 1}"
-        control = f"{own_ip}:{ports.take(own_ip)}"
+        control = f"{own_ip}:{ports.reserve(own_ip)}"
         advertise = control
         if "table" in running.proxies:
             advertise = await _start_proxy(running, name, control)
         document = builders.settings_document(
             dial_addresses,
-            public=f"{own_ip}:{ports.take(own_ip)}",
+            public=f"{own_ip}:{ports.reserve(own_ip)}",
             control=control,
             advertise=advertise,
             instance=name,
