--- a/sycamoreshed/adapters/endpoints.py
+++ b/sycamoreshed/adapters/endpoints.py
@@ -1,7 +1,7 @@
 """Calls to endpoints: engines, pools of encoders, plain services.
 
-Every call carries the ids of its request, stage and attempt.  An answer
-must carry the same three; otherwise it belongs to another call.
+Every stage call carries the ids of its request, stage and attempt.  An
+answer must carry the same three; otherwise it belongs to another call.
 """
 
 import asyncio
@@ -62,7 +62,7 @@
 
 
 class StageAnswer(typing.NamedTuple):
-    """The full answer to a unary call; ``size`` is bytes sent and received."""
+    """The full answer to a unary call; ``size`` counts both bodies."""
 
     output: typing.Any
     size: int
@@ -76,11 +76,12 @@
     offset : int
         Position of the token in the full answer.
     token : str or None
-        None in the final chunk.
+        None if the line has none, as in the final chunk.
     finish : str or None
-        ``stop`` in the final chunk, whose offset is the answer's length.
+        Not None in the final chunk; engines send ``stop``.  The offset of
+        the final chunk is the answer's length.
     size : int
-        In the final chunk, bytes sent and received by the call.
+        In the final chunk, bytes of the request's body and of all lines.
     """
 
     offset: int
@@ -141,7 +142,7 @@
             return kinds.Failure(
                 kinds.Kind.STAGE_FAILED, "answer without output", sent=True
             )
-        if not self._is_answer_to(reply.body, call):
+        if not self._check_ids(reply.body, call):
             return kinds.Failure(
                 kinds.Kind.STRAY_ANSWER, "answer to another call", sent=True
             )
@@ -153,7 +154,8 @@
         Notes
         -----
         A stream that ends without its final chunk yields a failure, so
-        that a truncated answer is never treated as complete.
+        that it is never treated as complete.  Whether offsets have gaps is
+        not checked here.
         """
         data = msgspec.json.encode(call._asdict())
         size = len(data)
@@ -224,7 +226,8 @@
         Returns
         -------
         dict or Failure
-            With ``state`` (``ran`` or ``never``) and, if it ran, ``output``.
+            Should have ``state`` (``ran`` or ``never``) and, if the call
+            ran, ``output``; the body is not validated.
         """
         reply = await web.fetch(
             self._session,
@@ -241,7 +244,7 @@
         return reply.body
 
     async def request(self, endpoint, method, path, *, timeout, body=None):
-        """Send a request that is not a stage call, such as for the load.
+        """Send a request that is not a stage call, such as for load.
 
         Returns
         -------
@@ -257,7 +260,7 @@
         )
 
     def _chunk_of(self, line, call):
-        if not self._is_answer_to(line, call):
+        if not self._check_ids(line, call):
             return None
         token = line.get("token")
         finish = line.get("finish")
@@ -265,7 +268,7 @@
             raise ValueError("line with neither token nor finish")
         return Chunk(line["offset"], token, finish)
 
-    def _is_answer_to(self, body, call):
+    def _check_ids(self, body, call):
         ids = (body.get("request"), body.get("stage"), body.get("attempt"))
         if ids == (call.request, call.stage, call.attempt):
             return True
--- a/sycamoreshed/adapters/engines.py
+++ b/sycamoreshed/adapters/engines.py
@@ -16,7 +16,7 @@
 __all__ = ["Engines", "Order", "Outdated", "State", "Target"]
 
 CONFLICT = 409
-# Bytes of the request line, the status line and the headers of a call.
+# Bytes counted for the request line, status line and headers of a call.
 HEADER_BYTES = 330
 
 
@@ -73,7 +73,7 @@
     ----------
     session : aiohttp.ClientSession
     traffic : prometheus_client.Counter
-        Bytes of control traffic.
+        Bytes of control calls that were answered.
     """
 
     def __init__(self, *, session, traffic):
@@ -156,7 +156,7 @@
         self._traffic.inc(HEADER_BYTES + size)
         return _order_outcome(response.status, raw)
 
-    async def load(self, endpoint, *, timeout):
+    async def read_load(self, endpoint, *, timeout):
         """Read an engine's load report, which is delayed; dict or Failure."""
         reply = await self._request(endpoint, "GET", "/load", timeout=timeout)
         return _body_of(reply)
--- a/sycamoreshed/adapters/instancelist.py
+++ b/sycamoreshed/adapters/instancelist.py
@@ -57,7 +57,7 @@
         Returns
         -------
         list of ListedInstance, or Failure
-            Of kind ``store-away``, also if the answer is not a list.
+            Of kind ``store-away``, also if the answer is not a valid list.
         """
         reply = await web.fetch(
             self._session,
--- a/sycamoreshed/adapters/table.py
+++ b/sycamoreshed/adapters/table.py
@@ -88,7 +88,7 @@
             Of kind ``store-away``.
         """
         path = "/rows/" + urllib.parse.quote(key, safe="")
-        reply = await self._fetch("GET", path, accepted=404)
+        reply = await self._fetch("GET", path, other_status=404)
         if isinstance(reply, kinds.Failure):
             return reply
         if reply.status == 404:
@@ -124,7 +124,9 @@
             taken effect or may do so later.
         """
         body = {"writes": [write._asdict() for write in writes]}
-        reply = await self._fetch("POST", "/transact", body=body, accepted=409)
+        reply = await self._fetch(
+            "POST", "/transact", body=body, other_status=409
+        )
         if isinstance(reply, kinds.Failure):
             return reply
         if reply.status == 409:
@@ -137,7 +139,7 @@
             return body
         return Written(tuple(body["versions"]))
 
-    async def _fetch(self, method, path, *, body=None, accepted=200):
+    async def _fetch(self, method, path, *, body=None, other_status=200):
         reply = await web.fetch(
             self._session,
             method,
@@ -148,7 +150,7 @@
         )
         if isinstance(reply, kinds.Failure):
             return reply._replace(kind=kinds.Kind.STORE_AWAY)
-        if reply.status not in (200, accepted):
+        if reply.status not in (200, other_status):
             # A rejection, such as of too many calls a second, has no
             # effect; after an error of the service the outcome is unknown.
             return kinds.Failure(
--- a/sycamoreshed/adapters/tests/test_endpoints.py
+++ b/sycamoreshed/adapters/tests/test_endpoints.py
@@ -44,7 +44,7 @@
 
 
 def timeout_for(fault):
-    """Return the timeout of a call; short only if the call is to reach it."""
+    """Return the timeout of a call; short only if the call should time out."""
     return 0.5 if "delay_s" in fault else 30.0
 
 
--- a/sycamoreshed/adapters/tests/test_engines.py
+++ b/sycamoreshed/adapters/tests/test_engines.py
@@ -117,13 +117,13 @@
     async with serving.running("engine") as (session, proxy, _):
         client = _client(session)
         endpoint = _endpoint(proxy.address)
-        load = await client.load(endpoint, timeout=10.0)
+        load = await client.read_load(endpoint, timeout=10.0)
         events = await client.cache_events(endpoint, after=0, timeout=10.0)
         imported = await client.kv_import(endpoint, "p", timeout=10.0)
         exported = await client.kv_export(endpoint, "p", timeout=10.0)
         proxy.refuse = True
         failures = [
-            await client.load(endpoint, timeout=0.3),
+            await client.read_load(endpoint, timeout=0.3),
             await client.cache_events(endpoint, after=0, timeout=0.3),
             await client.kv_export(endpoint, "p", timeout=0.3),
         ]
--- a/sycamoreshed/adapters/tests/test_table.py
+++ b/sycamoreshed/adapters/tests/test_table.py
@@ -12,7 +12,8 @@
 # Faults of the proxy and of the stand-in; result of a read; result of a
 # write (for a failure, whether the write may have taken effect); whether
 # the write did.  None if it still may, as when delayed bytes arrive after
-# the proxy forwards again.
+# the proxy forwards again.  A proxy that refuses accepts a connection and
+# closes it, so that the request may have been sent.
 FAULTS = {
     "none": ({}, {}, OLD, "written", True),
     "refused": ({"refuse": True}, {}, UNAVAILABLE, (UNAVAILABLE, True), False),
@@ -59,7 +60,7 @@
     """The table service refuses, is slow, does not answer or loses answers.
 
     If a write with an unknown outcome were reported as done or as not
-    done, an operation such as a ballot would count not at all or twice.
+    done, an operation that must run once would count not at all or twice.
     """
     proxy_faults, service_faults, read, write, effect = FAULTS[name]
     async with serving.running("table") as (session, proxy, fault):
--- a/sycamoreshed/adapters/web.py
+++ b/sycamoreshed/adapters/web.py
@@ -157,7 +157,8 @@
     Notes
     -----
     Connections are bound to the instance's own address, so that an
-    intermediary can identify the instance that opened them.
+    intermediary can identify the instance that opened them.  The listening
+    sockets are bound first, as a connection could take one of their ports.
     """
     host, _, _ = core.settings.control.rpartition(":")
     connector = Connector(
--- a/sycamoreshed/kernel/__init__.py
+++ b/sycamoreshed/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""The kernel and the registry of its plug-ins."""
+"""The plug-in kernel, registries of functions, and time limits."""
--- a/sycamoreshed/kernel/kernel.py
+++ b/sycamoreshed/kernel/kernel.py
@@ -132,7 +132,7 @@
         self.control.middlewares.append(middleware)
 
     def spawn(self, coro, *, name):
-        """Run a coroutine as a task that is cancelled when the kernel stops.
+        """Run a coroutine as a task, cancelled after plug-ins have stopped.
 
         Notes
         -----
--- a/sycamoreshed/orders/dispatch.py
+++ b/sycamoreshed/orders/dispatch.py
@@ -102,7 +102,7 @@
         self._unavailable.report(engine.name, True, begin)
         await asyncio.sleep(SPREAD_S)
         while self._clock() < begin + DRAIN_S:
-            load = await self._client.load(
+            load = await self._client.read_load(
                 engine.endpoint, timeout=LOAD_TIMEOUT_S
             )
             if isinstance(load, kinds.Failure) or not load.get("running"):
--- a/sycamoreshed/orders/tests/test_dispatch.py
+++ b/sycamoreshed/orders/tests/test_dispatch.py
@@ -38,7 +38,7 @@
     def __init__(self):
         self.taken = []
 
-    async def load(self, _endpoint, *, timeout):
+    async def read_load(self, _endpoint, *, timeout):
         """Tell that nothing is under way."""
         return {"running": 0}
 
--- a/sycamoreshed/settings/checking.py
+++ b/sycamoreshed/settings/checking.py
@@ -82,7 +82,7 @@
 
 @functools.cache
 def _type_hints(kind):
-    """Return the keys of a type; cached, as it costs more than the check."""
+    """Return the type of each key; cached, as it costs more than the check."""
     return typing.get_type_hints(kind)
 
 
--- a/sycamoreshed/settings/schema.py
+++ b/sycamoreshed/settings/schema.py
@@ -31,7 +31,10 @@
 
 
 class TariffHours(typing.TypedDict):
-    """Hours of the day in which attainment has another value."""
+    """Hours of the day in which attainment has another value.
+
+    They span midnight if ``begin`` is greater than ``end``.
+    """
 
     begin: float
     end: float
@@ -39,11 +42,12 @@
 
 
 class Tariff(typing.TypedDict):
-    """The value of attainment relative to the cost of crossing regions.
+    """Value of attainment relative to the cost of traffic between regions.
 
     ``attainment``: value of one request answered in time, in cost units.
     ``crossing_mb``: cost units of a megabyte sent between regions.
-    ``hour``: replaces the current hour of the day, for experiments.
+    ``hours``: hours with another value.  ``hour``: replaces the current
+    hour of the day, for experiments.
     """
 
     attainment: NonNegative
@@ -142,9 +146,12 @@
         Duration of a zone's lease for sending orders to engines, and the
         time before its end in which no order is sent.
     order_longest_s : float
-        Maximum time between sending an order and its effect.
+        Assumed maximum time between sending an order and its effect;
+        waited out after orders with an unknown outcome, and by the next
+        holder of a lease.
     order_look_s : float
-        Maximum interval between reads of a settled engine's state.
+        Maximum interval between reads of the state of an engine that is in
+        its target state.
     loads_at_once : int
         Maximum number of engines of a zone that load at the same time.
     weight_rate : float
