--- a/sycamoreshed/orders/dispatch.py
+++ b/sycamoreshed/orders/dispatch.py
@@ -103,7 +103,7 @@
         self._unavailable.report(engine.name, True, started_at)
         await asyncio.sleep(REPORT_SPREAD_S)
         while self._clock() < started_at + MAX_DRAIN_S:
-            report = await self._client.load(
+            report = await self._client.read_load(
                 engine.endpoint, timeout=LOAD_REPORT_TIMEOUT_S
             )
             if isinstance(report, kinds.Failure) or not report.get("running"):
--- a/sycamoreshed/orders/tests/test_dispatch.py
+++ b/sycamoreshed/orders/tests/test_dispatch.py
@@ -38,7 +38,7 @@
     def __init__(self):
         self.accepted = []
 
-    async def load(self, _endpoint, *, timeout):
+    async def read_load(self, _endpoint, *, timeout):
         """Report that no call is running."""
         return {"running": 0}
 
