--- a/sycamoreshed/cli/client.py
+++ b/sycamoreshed/cli/client.py
@@ -14,7 +14,7 @@
 from sycamoreshed.settings import schema
 
 __all__ = [
-    "EXIT_CODES",
+    "EXIT_CODES_HELP",
     "AsJson",
     "Control",
     "Exit",
@@ -43,14 +43,18 @@
     UNREACHABLE = 4
 
 
-EXIT_CODES = (
+EXIT_CODES_HELP = (
     "Exit codes: 0 done; 1 refused; 2 a file, a setting or an argument is "
     "not valid; 3 the outcome is unknown; 4 the instance cannot be reached."
 )
 
 
 def send_and_print(control, method, path, *, body=None, as_json=False):
-    """Send one request, print its response and return the exit code."""
+    """Send one request, print its response and return the exit code.
+
+    Without a response the code is `UNREACHABLE`, also if the request may
+    have reached the instance.
+    """
     schema.check_address(control, source="--control", path="$")
     reply = asyncio.run(fetch(control, method, path, body))
     if isinstance(reply, kinds.Failure):
--- a/sycamoreshed/cli/main.py
+++ b/sycamoreshed/cli/main.py
@@ -23,7 +23,7 @@
 app = cyclopts.App(
     name="sycamoreshed",
     help="Serve multi-stage model pipelines.",
-    help_epilogue=client.EXIT_CODES,
+    help_epilogue=client.EXIT_CODES_HELP,
     version_flags=["--version"],
 )
 app.command(note.app)
@@ -73,7 +73,7 @@
     failed
         List the causes of all requests that failed, with an example.
     """
-    request, logs = (None, words) if failed else (words[:1], words[1:])
+    request_ids, logs = (None, words) if failed else (words[:1], words[1:])
     if not logs:
         print("name the log files", file=sys.stderr)
         return client.Exit.INVALID
@@ -85,7 +85,7 @@
                 print(f"{count} (such as {example}): {cause}")
             return client.Exit.DONE
         text = explanation.format_trace(
-            explanation.trace_request(lines, request[0])
+            explanation.trace_request(lines, request_ids[0])
         )
     print("\n".join(text))
     return client.Exit.DONE
--- a/sycamoreshed/cli/tests/test_main.py
+++ b/sycamoreshed/cli/tests/test_main.py
@@ -46,7 +46,7 @@
 
 
 async def run_all(calls):
-    """Run the program with each list of arguments, few concurrently."""
+    """Run the program with each list of arguments, few at once."""
     semaphore = asyncio.Semaphore(MAX_PROCESSES)
 
     async def run_one(args):
@@ -72,7 +72,7 @@
 
 
 async def test_settings_errors_are_one_line(tmp_path):
-    """A setting is mistyped; the daemon must not guess its value."""
+    """An invalid file is reported with its path and key, not guessed at."""
     files = [
         write_settings(tmp_path, f"{index}.json", **change)
         for index, (change, _, _) in enumerate(BAD_SETTINGS)
@@ -120,7 +120,7 @@
     assert results[5][1] == f"{good}: valid\n"
 
 
-async def test_commands_fail_if_instance_is_unreachable():
+async def test_commands_fail_without_reachable_instance():
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         unreachable = f"127.0.0.1:{unused.getsockname()[1]}"
--- a/sycamoreshed/observe/explain.py
+++ b/sycamoreshed/observe/explain.py
@@ -19,7 +19,8 @@
     "trace_request",
 ]
 
-# Events that end a request without a full answer of an endpoint.
+# Events of a request that ended without a full answer of an endpoint; one
+# request can have two of them.
 FAILURE_EVENTS = ("failed", "broken", "caller_left")
 
 # Printed cause of a `failed` event, by the kind of the failure.
@@ -66,7 +67,8 @@
         Tables that the store did not answer for, with the Unix time of the
         last `store_lost` event.
     avoided : dict of str to str
-        Endpoints that were avoided after failures, and why.
+        Endpoints with an `endpoint_out` event and no later `endpoint_back`,
+        and why; the time of avoidance may be over.
     """
 
     version: int | None = None
@@ -207,12 +209,12 @@
 
 
 def count_failures(lines):
-    """Count the lines that ended a request without a full answer.
+    """Count the events of requests without a full answer, by cause.
 
     Returns
     -------
     list of (str, int, str)
-        Cause, number of lines and the request id of the first one; the
+        Cause, number of events and the request id of the first one; the
         most frequent cause first.
     """
     counts = collections.Counter()
--- a/sycamoreshed/observe/journal.py
+++ b/sycamoreshed/observe/journal.py
@@ -1,4 +1,4 @@
-"""The structured log of a daemon: bounded and non-blocking.
+"""The structured log of the gateway daemon: bounded and non-blocking.
 
 Each line is one event of `EVENTS`.  Lines go to standard output through a
 bounded buffer and non-blocking writes; when the reader falls behind, lines
@@ -28,11 +28,11 @@
 }
 # Lines are buffered for this long, so that a burst costs one system call.
 FLUSH_INTERVAL_S = 0.25
-# Unless the reader is blocked, events of class FAILURE and above are written
-# at once, before the caller receives the answer: a process that dies or
-# stalls would otherwise lose the line that states the cause.  Within this
-# time after a flush they wait for its end and can still be lost, so that a
-# burst of failures costs few writes.
+# Unless the output is blocked, events of class FAILURE and above are flushed
+# at once, before the client receives the answer: a process that dies or
+# stalls would otherwise lose the line that states the cause.  They are not
+# flushed within this time after the previous flush, so that a burst costs
+# few writes; lines that wait for it can be lost.
 MIN_FLUSH_GAP_S = 0.02
 # Delay after a write that the reader did not fully accept.
 BLOCKED_RETRY_S = 0.5
@@ -77,7 +77,7 @@
 
     @property
     def dropped(self):
-        """Number of lines dropped since the start, by class."""
+        """Lines dropped since the start for lack of buffer space, by class."""
         return self._dropped
 
     def write(self, name, **fields):
@@ -123,8 +123,8 @@
             except BlockingIOError:
                 written = 0
             except OSError:
-                # The reader closed its end, so nobody could read a report
-                # of the loss.
+                # Usually the reader closed its end, so nobody could read a
+                # report: the lines are discarded and not counted.
                 self._lines.clear()
                 self._buffered_bytes = 0
                 return
--- a/sycamoreshed/observe/logs.py
+++ b/sycamoreshed/observe/logs.py
@@ -1,4 +1,4 @@
-"""Logging as JSON lines, with a rate-limited log of decisions."""
+"""Log of the entry daemon as JSON lines, with rate-limited decisions."""
 
 import logging
 import sys
@@ -14,7 +14,8 @@
 # Lines beyond this rate are counted, and the count is logged instead.
 LINES_PER_SECOND = 2000
 
-_STANDARD_LEVELS = {logging.WARNING, logging.ERROR, logging.CRITICAL}
+# Levels passed to loguru by name, others by number.
+_NAMED_LEVELS = {logging.WARNING, logging.ERROR, logging.CRITICAL}
 
 
 def _serialise(record):
@@ -43,10 +44,8 @@
     def emit(self, record):
         """Log a record as a JSON line, under the name of its library."""
         error = record.exc_info[1] if record.exc_info else None
-        is_standard = (
-            logging.getLevelName(record.levelname) in _STANDARD_LEVELS
-        )
-        level = record.levelname if is_standard else record.levelno
+        has_name = logging.getLevelName(record.levelname) in _NAMED_LEVELS
+        level = record.levelname if has_name else record.levelno
         bound = logger.bind(library=record.name)
         bound.opt(exception=error).log(level, record.getMessage())
 
--- a/sycamoreshed/observe/metrics.py
+++ b/sycamoreshed/observe/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of a daemon.
+"""Metrics of the entry daemon.
 
-The first `TEAM_LABELS` teams have a label each and all others share one, so
-that 35,000 teams do not make 35,000 series.
+The first `MAX_TEAM_LABELS` teams seen since the start have a label each and
+all others share one, so that 35,000 teams do not make 35,000 series.
 """
 
 import prometheus_client
@@ -10,7 +10,7 @@
 
 __all__ = ["Metrics"]
 
-TEAM_LABELS = 50
+MAX_TEAM_LABELS = 50
 OTHER_TEAMS_LABEL = "other"
 
 
@@ -20,7 +20,7 @@
     Parameters
     ----------
     region : str
-        Region of this instance; bytes to other regions are counted.
+        Region of this instance; traffic with other regions is counted.
     registry : CollectorRegistry, optional
     """
 
@@ -82,7 +82,7 @@
         """Return the label under which a team is counted."""
         if team in self._teams:
             return team
-        if len(self._teams) < TEAM_LABELS:
+        if len(self._teams) < MAX_TEAM_LABELS:
             self._teams.add(team)
             return team
         return OTHER_TEAMS_LABEL
--- a/sycamoreshed/observe/tests/test_explain.py
+++ b/sycamoreshed/observe/tests/test_explain.py
@@ -1,6 +1,6 @@
-"""Explanations of single requests, from log lines of a recorded day.
+"""Explanations of single requests, most of them from recorded logs.
 
-The requests are the examples in docs/OPERATIONS.md.
+The recorded requests are the examples in docs/OPERATIONS.md.
 """
 
 import pathlib
@@ -21,9 +21,10 @@
 
 
 def test_request_rejected_as_too_late():
-    """A request is rejected unsent although nine engines are free.
+    """A request is rejected as too late although nine engines are free.
 
-    Its stages have a backlog of 0.79 s, more than its time allows.
+    One of its stages has a backlog of 0.79 s, so its zone rejects it before
+    anything is sent to an endpoint.
     """
     text = explain_request("refused", "71a801a8797e3c41")
     assert text[0].startswith("edge-cwb-a-3 believed: configuration 4 for")
@@ -86,6 +87,7 @@
         with open(DATA / f"{name}.jsonl") as log:
             lines += explain.read_events([log])
     causes = explain.count_failures(lines)
+    # The broken request has a line `broken` and a line `caller_left`.
     assert sum(count for _, count, _ in causes) == 4
     assert all(example for _, _, example in causes)
 
--- a/sycamoreshed/observe/tests/test_logs.py
+++ b/sycamoreshed/observe/tests/test_logs.py
@@ -64,7 +64,10 @@
 
 
 def test_lines_of_libraries_are_json(lines):
-    """A library logs a traceback of many lines that contains braces."""
+    """A library logs a traceback of many lines that contains braces.
+
+    Braces must not be taken for format fields.
+    """
     log = logging.getLogger("aiohttp.server")
     log.info("left out")
     try:
--- a/sycamoreshed/observe/tests/test_metrics.py
+++ b/sycamoreshed/observe/tests/test_metrics.py
@@ -25,11 +25,13 @@
     ]
     # The first teams have a series each; the others share one for each
     # pipeline and outcome.
-    assert len(totals) == metrics.TEAM_LABELS + PIPELINES * len(kinds.Outcome)
+    assert len(totals) == metrics.MAX_TEAM_LABELS + PIPELINES * len(
+        kinds.Outcome
+    )
     assert sum(float(line.split()[-1]) for line in totals) == TEAMS
 
 
-def test_only_bytes_to_other_regions_are_counted():
+def test_only_traffic_with_other_regions_is_counted():
     daemon_metrics = metrics.Metrics(region="north")
     request = types.SimpleNamespace(pipeline="summary")
     answer = endpoints.StageAnswer("x", 100)
--- a/tests/test_api_page.py
+++ b/tests/test_api_page.py
@@ -40,7 +40,7 @@
         f"`{parsing.PRIORITY}`",
         f"at most {parsing.MAX_DEADLINE_MS:.0f}",
         f"| {callers.BODY_TIMEOUT_S:.0f} s |",
-        f"first {metrics.TEAM_LABELS} teams",
+        f"first {metrics.MAX_TEAM_LABELS} teams",
     ],
 )
 def test_page_names(name):
