--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""The bench: open-loop load on real daemons before stand-ins."""
+"""Benchmarks: open-loop load on real daemons with stand-in services."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -44,29 +44,33 @@
     settings
         JSON of further settings of the daemons.
     """
-    more: dict[str, typing.Any] = json.loads(settings)
-    for number, level, order, name in itertools.product(
+    extra: dict[str, typing.Any] = json.loads(settings)
+    for seed_number, level, fairness_name, policy_name in itertools.product(
         seed, load, fairness, policy
     ):
-        changes = dict(more)
-        if name:
-            changes["routing"] = name
-        if order:
-            changes["fairness"] = order
+        changes = dict(extra)
+        if policy_name:
+            changes["routing"] = policy_name
+        if fairness_name:
+            changes["fairness"] = fairness_name
         result = uvloop.run(
             runs.run(
                 scenario,
                 deployment=deployment,
-                seed=number,
+                seed=seed_number,
                 seconds=seconds,
                 level=level,
                 changes=changes,
                 count=instances,
             )
         )
-        label = f"{deployment}-{scenario}-{level}-{name}-{order}-{number}"
-        if more:
-            # Without it, runs with other settings would be overwritten.
+        label = (
+            f"{deployment}-{scenario}-{level}"
+            f"-{policy_name}-{fairness_name}-{seed_number}"
+        )
+        if extra:
+            # Otherwise runs that differ only in these settings would share a
+            # folder and overwrite each other.
             label += f"-{xxhash.xxh32_hexdigest(settings.encode())}"
         _write(result, out / label)
 
@@ -75,7 +79,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     (folder / runs.RESULT).write_text(json.dumps(result, indent=1))
     plots.draw(result, folder)
-    _print(runs.compare([result]))
+    _print_table(runs.compare([result]))
 
 
 @app.command
@@ -90,7 +94,7 @@
     ]
     table = [list(rows[0])]
     table += [[f"{value:.4g}" for value in row.values()] for row in rows]
-    _print(table)
+    _print_table(table)
     by_size = [row for row in rows if row["teams"] == 35000]
     by_team = [row for row in rows if row["candidates"] == 90]
     for figure in ("route_us", "admit_us"):
@@ -102,10 +106,10 @@
 @app.command
 def compare(*paths: pathlib.Path):
     """Print a table of results, one line for each setting."""
-    _print(runs.compare(runs.read(paths)))
+    _print_table(runs.compare(runs.read(paths)))
 
 
-def _print(rows):
+def _print_table(rows):
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     for row in rows:
         cells = zip(row, widths, strict=True)
--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -1,4 +1,4 @@
-"""Open-loop arrivals: drawn before the run, whatever the answers are."""
+"""Open-loop arrivals, drawn before the run and independent of answers."""
 
 import random
 import typing
@@ -9,7 +9,7 @@
 
 
 class Phase(typing.NamedTuple):
-    """A time with constant rates.
+    """A period with constant arrival rates.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
     number : int
     team, pipeline : str
     text : str
-        Input; its beginning decides the prompt's prefix.
+        Input; its beginning determines the prompt's prefix.
     """
 
     at: float
@@ -55,7 +55,7 @@
     seed : int
     prefixes : int
         Number of shared prompt prefixes, drawn with a Zipf skew; zero
-        gives each request a prefix of its own.
+        gives each request its own prefix.
 
     Returns
     -------
@@ -98,5 +98,5 @@
     if not prefixes:
         return f"{number:08d}-{rng.random()}"
     weights = [1 / rank for rank in range(1, prefixes + 1)]
-    chosen = rng.choices(range(prefixes), weights)[0]
-    return f"{chosen:08d}".ljust(PREFIX_CHARS, "x") + f" {number}"
+    prefix = rng.choices(range(prefixes), weights)[0]
+    return f"{prefix:08d}".ljust(PREFIX_CHARS, "x") + f" {number}"
--- a/bench/ballots.py
+++ b/bench/ballots.py
@@ -1,4 +1,4 @@
-"""Figures of requests that may not be repeated, and long random runs.
+"""Measurements of non-repeatable requests, and long random runs.
 
 ``python -m bench.ballots cost``, ``outage``, ``rate`` or ``random``.
 """
@@ -22,7 +22,7 @@
 
 WARM_UP = 20
 WRITE_S = 1 / 300
-# Half the timeout of the store: who took longer waited for it.
+# Half the store's timeout: a slower call has waited for the store.
 SLOW_S = 0.25
 
 
@@ -31,7 +31,7 @@
     return round(1000 * ordered[int(share * (len(ordered) - 1))], 2)
 
 
-async def _timed(coro):
+async def _call_timed(coro):
     start = time.perf_counter()
     result = await coro
     return result, time.perf_counter() - start
@@ -53,7 +53,7 @@
         for number in range(WARM_UP):
             await ballots.cast(cluster, 0, f"w{number}")
             await _read(cluster, 0)
-        # Others use the store too; an idle stretch tells how much.
+        # Background work uses the store too; an idle period measures it.
         idle = await _store_use(cluster, asyncio.sleep(3), 3)
         reads = await _times(_read(cluster, 0) for _ in range(count))
         start = time.perf_counter()
@@ -62,13 +62,13 @@
             ballots.cast(cluster, 0, f"k{number}") for number in range(count)
         )
         after = await cluster.get("table", "/counts")
-        taken = time.perf_counter() - start
+        elapsed_s = time.perf_counter() - start
         replays = await _times(
             ballots.cast(cluster, 0, f"k{number}") for number in range(count)
         )
         last = await cluster.get("table", "/counts")
     for name in ("writes", "reads"):
-        own = after[name] - before[name] - idle[name] * taken
+        own = after[name] - before[name] - idle[name] * elapsed_s
         again = last[name] - after[name]
         print(
             f"{name} a ballot: {own / count:.2f};"
@@ -95,7 +95,7 @@
 
 
 async def _times(calls):
-    return [(await _timed(call))[1] for call in calls]
+    return [(await _call_timed(call))[1] for call in calls]
 
 
 @app.command
@@ -112,15 +112,15 @@
     async with ballots.cluster(daemons=3, log_level="WARNING") as cluster:
         phases = (("before", 5), ("during", seconds), ("after", 10))
         for phase, length in phases:
-            held = phase == "during"
-            setattr(cluster.proxies["table"], fault, held)
+            is_active = phase == "during"
+            setattr(cluster.proxies["table"], fault, is_active)
             cast, reads = await _load(cluster, phase, length, rate)
             _print_phase(phase, cast, reads)
         runs = await ballots.log(cluster)
-        print(f"most runs of one key: {_most(runs)}")
+        print(f"most runs of one key: {_max_runs(runs)}")
 
 
-def _most(runs):
+def _max_runs(runs):
     return max(collections.Counter(run["key"] for run in runs).values())
 
 
@@ -130,21 +130,23 @@
     for number in range(int(length * rate)):
         index = number % size
         call = ballots.cast(cluster, index, f"{phase}-{number}")
-        cast.append(asyncio.create_task(_timed(call)))
-        reads.append(asyncio.create_task(_timed(_read(cluster, index))))
+        cast.append(asyncio.create_task(_call_timed(call)))
+        reads.append(asyncio.create_task(_call_timed(_read(cluster, index))))
         await asyncio.sleep(1 / rate)
     return await asyncio.gather(*cast), await asyncio.gather(*reads)
 
 
 def _print_phase(phase, cast, reads):
     for name, results in (("ballots", cast), ("reads", reads)):
-        told = collections.Counter(str(told.outcome) for told, _ in results)
+        outcomes = collections.Counter(
+            str(answer.outcome) for answer, _ in results
+        )
         shares = ", ".join(
             f"{outcome} {100 * number / len(results):.1f}%"
-            for outcome, number in told.most_common()
+            for outcome, number in outcomes.most_common()
         )
-        times = [taken for _, taken in results]
-        slow = sum(taken > SLOW_S for taken in times)
+        times = [call_s for _, call_s in results]
+        slow = sum(call_s > SLOW_S for call_s in times)
         print(
             f"{phase}: {len(results)} {name}: {shares};"
             f" p50 {_ms(times, 0.5)} ms, p99 {_ms(times, 0.99)} ms,"
@@ -171,7 +173,7 @@
         record_group=group,
     ) as cluster:
         await cluster.faults("table", serial_s=WRITE_S, paths=["/transact"])
-        told = collections.Counter()
+        outcomes = collections.Counter()
         times = []
         before = await cluster.get("table", "/counts")
         end = time.perf_counter() + seconds
@@ -183,18 +185,18 @@
                 call = ballots.cast(
                     cluster, number % daemons, f"{name}-{number}"
                 )
-                answer, taken = await _timed(call)
-                told[str(answer.outcome)] += 1
-                times.append(taken)
+                answer, call_s = await _call_timed(call)
+                outcomes[str(answer.outcome)] += 1
+                times.append(call_s)
 
         start = time.perf_counter()
         await asyncio.gather(*(work(name) for name in range(callers)))
-        taken = time.perf_counter() - start
+        elapsed_s = time.perf_counter() - start
         after = await cluster.get("table", "/counts")
     writes = after["writes"] - before["writes"]
     print(
-        f"group of {group}: {told['complete'] / taken:.0f} ballots/s,"
-        f" {writes / taken:.0f} transactions/s, {dict(told)},"
+        f"group of {group}: {outcomes['complete'] / elapsed_s:.0f} ballots/s,"
+        f" {writes / elapsed_s:.0f} transactions/s, {dict(outcomes)},"
         f" p50 {_ms(times, 0.5)} ms, p95 {_ms(times, 0.95)} ms"
     )
 
@@ -210,7 +212,7 @@
     final = collections.Counter()
     faults = collections.Counter()
     runs = 0
-    broken = []
+    violations = []
     for seed in seeds:
         async with ballots.cluster(
             daemons=3, lookup=seed % 2 == 1, log_level="WARNING"
@@ -220,7 +222,7 @@
         final += summary.final
         faults += summary.faults
         runs += summary.runs
-        broken += [f"seed {seed}: {item}" for item in summary.violations]
+        violations += [f"seed {seed}: {item}" for item in summary.violations]
         print(f"seed {seed}: {len(summary.violations)} broken promises")
     for name, counts in (
         ("answers", outcomes),
@@ -228,8 +230,8 @@
         ("faults", faults),
     ):
         print(f"{name}: {json.dumps(dict(counts.most_common()))}")
-    print(f"runs at endpoints: {runs}; broken promises: {len(broken)}")
-    for line in broken:
+    print(f"runs at endpoints: {runs}; broken promises: {len(violations)}")
+    for line in violations:
         print(line)
 
 
--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""A gallery of examples that run."""
+"""Runnable examples."""
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,7 +1,8 @@
-"""The main job, shown: three entry instances in two zones.
+"""A demonstration with three entry instances in two zones.
 
-Starts stand-ins and daemons, sends requests, streams one answer, casts
-one ballot, shows decision lines, and stops all of it.
+Starts stand-in services and daemons, sends requests, streams one answer,
+casts one ballot with the same key through two instances, prints routing
+decisions, and stops all processes.
 """
 
 import asyncio
@@ -13,7 +14,7 @@
 
 
 def check(status):
-    """End the demonstration if an answer is not whole."""
+    """Exit with an error unless the status is 200."""
     if status != 200:
         raise SystemExit(1)
 
@@ -30,7 +31,7 @@
 
 
 async def show_decisions(cluster):
-    """Print the first routing decisions of each instance."""
+    """Print the first two routing decisions of each instance."""
     for daemon in cluster.daemons:
         routed = [
             line for line in daemon.lines if line.get("decision") == "route"
--- a/examples/own_policy.py
+++ b/examples/own_policy.py
@@ -1,8 +1,8 @@
-"""A routing policy of one's own, beside those that come with the program.
+"""A custom routing policy registered beside the built-in ones.
 
-A policy is a function of the candidates, what is known of them, and the
-present time.  A decorator puts it into the registry, and the settings key
-``routing`` names it.
+A policy is a function of the candidates, the routing context and the
+current time.  A decorator registers it, and the setting ``routing`` selects
+it by name.
 """
 
 import collections
@@ -14,10 +14,10 @@
 
 @policies.POLICIES.register("own_zone")
 def own_zone(candidates, context, now):
-    """Pick the least loaded of the own zone, else of all."""
-    near = [item for item in candidates if item.zone == context.zone]
+    """Choose the least loaded candidate in this zone, or else of all."""
+    same_zone = [item for item in candidates if item.zone == context.zone]
     return min(
-        near or candidates,
+        same_zone or candidates,
         key=lambda item: context.loads.utilization(item, now),
     )
 
@@ -36,8 +36,8 @@
     )
     policy = policies.POLICIES.get("own_zone")
     chosen = collections.Counter()
-    for turn in range(10):
-        choice = policy(candidates, context, float(turn))
+    for number in range(10):
+        choice = policy(candidates, context, float(number))
         context.loads.record_start(choice)
         chosen[choice.name] += 1
     print(dict(chosen))
--- a/examples/store_away.py
+++ b/examples/store_away.py
@@ -1,19 +1,19 @@
-"""A ballot while the table service is away, and once it is back.
+"""A ballot during an outage of the table service, and after it.
 
-What may be repeated goes on; a ballot hears that it did not run, and when
-to come again; with the same key it then runs once.
+Repeatable requests are still served.  A ballot is answered with "not run"
+and a time to retry; retried with the same key, it runs once.
 """
 
 import asyncio
 
 from testkit import processes
 
-# Each request before was told as not run, so none is repeated.
+# Each earlier request was reported as not run, so none is a repeat.
 KEY = {"Idempotency_Key": "member-12", "Idempotency_Repeat": "false"}
 
 
 async def main():
-    """Take the store away, cast a ballot, bring it back, cast again."""
+    """Cast a ballot during a store outage, and again after it."""
     async with processes.cluster() as cluster:
         await cluster.faults("table", down=True)
         status, _, body = await cluster.call(
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of the repository, run by `make lint`."""
+"""Repository checks, run by `make lint`."""
--- a/tools/eventtable.py
+++ b/tools/eventtable.py
@@ -1,6 +1,6 @@
-"""Writes the table of log events into the operators' page.
+"""Generates the table of log events in the operators' page.
 
-``python -m tools.eventtable`` writes it; a test fails if it is stale.
+``python -m tools.eventtable`` updates it; a test fails if it is out of date.
 """
 
 import pathlib
@@ -26,16 +26,16 @@
 
 
 def section(page):
-    """Return where the table stands in a page's text, as a slice."""
+    """Return the slice of a page's text that holds the table."""
     start = page.index(BEGIN) + len(BEGIN)
     return slice(start, page.index(END))
 
 
 def main():
-    """Write the table."""
+    """Replace the table in the page by a current one."""
     page = PAGE.read_text()
-    place = section(page)
-    PAGE.write_text(page[: place.start] + render() + page[place.stop :])
+    table = section(page)
+    PAGE.write_text(page[: table.start] + render() + page[table.stop :])
 
 
 if __name__ == "__main__":
--- a/tools/wirenames.py
+++ b/tools/wirenames.py
@@ -1,7 +1,7 @@
-"""Fails when a name of the platform's wire stands outside its folder.
+"""Fails when platform wire names occur outside the platform package.
 
-The rest of the product then depends on the wire in places that nobody
-looks at when the wire changes.
+Such a name makes other code depend on the wire format in places that a
+change of the format would miss.
 """
 
 import pathlib
@@ -12,8 +12,8 @@
 
 ROOT = pathlib.Path(__file__).parents[1]
 PRODUCT = ROOT / "sycamoreshed"
-FOLDER = PRODUCT / "platform"
-# Headers, calls, and fields whose names the product does not use itself.
+PLATFORM = PRODUCT / "platform"
+# Headers, calls, and fields whose names have no other use in the product.
 PATTERN = re.compile(
     r"X-Sycamoreshed-|Kv-(?:From|Fetch)|Last-Event-Id"
     r"|\b(?:(?:rows|kv|hold|blob)-[a-z]+|stage-(?:run|free))\b"
@@ -24,7 +24,7 @@
 
 
 def find(path):
-    """Return the lines of a file that hold such a name.
+    """Return the lines of a file that contain a wire name.
 
     Returns
     -------
@@ -40,15 +40,15 @@
 
 
 def main():
-    """Print what is found; return the exit code."""
-    code = 0
+    """Print each occurrence; return the exit code."""
+    exit_code = 0
     for path in sorted(PRODUCT.rglob("*.py")):
-        if FOLDER in path.parents:
+        if PLATFORM in path.parents:
             continue
         for number, line in find(path):
             print(f"{path.relative_to(ROOT)}:{number}: wire name: {line}")
-            code = 1
-    return code
+            exit_code = 1
+    return exit_code
 
 
 if __name__ == "__main__":
