--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -1,8 +1,8 @@
-"""A random run of ballots under faults, and the check of its history.
+"""Random ballots under injected faults, and a check of their history.
 
-What is done comes from a seed; when it takes effect is up to the
-machine.  Faults follow each other by ballots begun, not by seconds, so
-that a slow machine sees as many.
+A seed determines the actions, but not their timing.  Faults change after
+a number of started ballots, not after a time, so that a slow machine is
+exposed to as many.
 """
 
 import asyncio
@@ -15,42 +15,42 @@
 
 from testkit import ballots
 
-__all__ = ["Heard", "Summary", "check", "run"]
+__all__ = ["Observation", "Summary", "check", "run"]
 
 WORKERS = 12
 BALLOTS_PER_FAULT = 6
-MOST_TRIES = 4
+MAX_TURNS = 4
 LATE_S = 1.0
-PROMISES = ("not-run", "shed")
+NOT_RUN_OUTCOMES = ("not-run", "shed")
 PLATFORM = ("table", "objects", "instances")
 
 
-class Heard(typing.NamedTuple):
-    """One answer a caller heard.
+class Observation(typing.NamedTuple):
+    """One answer that a caller received.
 
-    ``asked`` if it came by ``GET``.  ``turn`` counts the times the caller
-    came with the key; requests of one turn are under way together.
-    ``repeat`` is what the caller told of earlier turns, ``began`` the
-    wall-clock time at which it came.
+    ``is_lookup`` is true for the answer to a ``GET``.  ``turn`` counts the
+    caller's rounds of requests with the key; those of one turn are
+    concurrent.  ``repeat`` is what the caller stated about earlier turns,
+    ``started_at`` the wall-clock time of the request.
     """
 
     key: str
-    told: ballots.Told
-    asked: bool = False
+    answer: ballots.Told
+    is_lookup: bool = False
     turn: int = 0
     repeat: bool | None = None
-    began: float = 0.0
+    started_at: float = 0.0
 
     @property
     def request(self):
-        """Id of the request that the answer names, or None."""
-        if self.told.raw is None:
+        """Id of the request named in the answer, or None."""
+        if self.answer.raw is None:
             return None
-        return json.loads(self.told.raw).get("request")
+        return json.loads(self.answer.raw).get("request")
 
 
 class Summary(typing.NamedTuple):
-    """What a run showed."""
+    """Violations and counts of a run."""
 
     violations: list
     outcomes: collections.Counter
@@ -60,20 +60,20 @@
 
 
 class _Faults:
-    """Shows one fault after another."""
+    """Injects one fault after another."""
 
     def __init__(self, cluster, rng):
         self._cluster = cluster
         self._rng = rng
-        self._down = set()
-        self.used = collections.Counter()
+        self._stopped = set()
+        self.counts = collections.Counter()
 
     async def next(self):
-        """End the fault before, mostly, and begin another."""
+        """Usually end the current faults; start another."""
         if self._rng.random() < 0.7:
             await self.heal()
         name = self._rng.choice(sorted(_FAULTS))
-        self.used[name] += 1
+        self.counts[name] += 1
         await _FAULTS[name](self)
 
     async def heal(self):
@@ -85,14 +85,14 @@
         for proxy in cluster.proxies.values():
             proxy.freeze = proxy.refuse = False
         cluster.cut([], PLATFORM)
-        for index in sorted(self._down):
+        for index in sorted(self._stopped):
             daemon = cluster.daemons[index]
             if daemon.process.returncode is None:
                 daemon.send_signal(signal.SIGCONT)
             else:
                 await daemon.start()
                 await daemon.wait_ready()
-        self._down.clear()
+        self._stopped.clear()
 
     async def store(self, **spec):
         await self._cluster.faults("table", **spec)
@@ -144,21 +144,21 @@
         await self._cluster.faults("language-2", fail=1.0)
 
     async def cut_off(self):
-        self._cluster.cut([self._any()], PLATFORM)
+        self._cluster.cut([self._random_index()], PLATFORM)
 
     async def pause(self):
-        index = self._any()
-        if index not in self._down:
-            self._down.add(index)
+        index = self._random_index()
+        if index not in self._stopped:
+            self._stopped.add(index)
             self._cluster.daemons[index].send_signal(signal.SIGSTOP)
 
     async def kill(self):
-        index = self._any()
-        if index not in self._down:
-            self._down.add(index)
+        index = self._random_index()
+        if index not in self._stopped:
+            self._stopped.add(index)
             await self._cluster.daemons[index].kill()
 
-    def _any(self):
+    def _random_index(self):
         return self._rng.randrange(len(self._cluster.daemons))
 
 
@@ -176,45 +176,45 @@
     faults = _Faults(cluster, rng)
     history = []
     keys = collections.deque(f"s{seed}-{n}" for n in range(count))
-    begun = 0
+    started_count = 0
 
-    async def work(own):
-        nonlocal begun
+    async def work(worker_rng):
+        nonlocal started_count
         while keys:
             key = keys.popleft()
-            begun += 1
-            await _ballot(cluster, own, key, history)
+            started_count += 1
+            await _ballot(cluster, worker_rng, key, history)
 
-    async def disturb():
-        done = 0
+    async def inject_faults():
+        last_change = 0
         while keys:
-            if begun >= done + BALLOTS_PER_FAULT:
-                done = begun
+            if started_count >= last_change + BALLOTS_PER_FAULT:
+                last_change = started_count
                 await faults.next()
             await asyncio.sleep(0.02)
 
     rngs = [random.Random(f"{seed}-{n}") for n in range(WORKERS)]
-    disturbing = asyncio.create_task(disturb())
-    await asyncio.gather(*(work(own) for own in rngs))
-    await disturbing
+    fault_task = asyncio.create_task(inject_faults())
+    await asyncio.gather(*(work(worker_rng) for worker_rng in rngs))
+    await fault_task
     await faults.heal()
     final = await _settle(cluster, history, count, seed)
     runs = await ballots.log(cluster)
     return Summary(
         check(history, runs),
-        collections.Counter(str(item.told.outcome) for item in history),
+        collections.Counter(str(item.answer.outcome) for item in history),
         final,
         len(runs),
-        faults.used,
+        faults.counts,
     )
 
 
 async def _ballot(cluster, rng, key, history):
     pipeline = rng.choice(("ballot", "ballot", "middle"))
     size = len(cluster.daemons)
-    telling = random.Random(key)
-    for turn in range(rng.randint(1, MOST_TRIES)):
-        repeat = telling.choice((None, _may_have_run(history, key)))
+    repeat_rng = random.Random(key)
+    for turn in range(rng.randint(1, MAX_TURNS)):
+        repeat = repeat_rng.choice((None, _may_have_run(history, key)))
         calls = [
             _cast(
                 cluster,
@@ -230,18 +230,20 @@
         ]
         await asyncio.gather(*calls)
         if rng.random() < 0.3:
-            await _ask(cluster, rng.randrange(size), key, pipeline, history)
-        last = history[-1].told.outcome
+            await _look_up(
+                cluster, rng.randrange(size), key, pipeline, history
+            )
+        last = history[-1].answer.outcome
         if last == "complete" and rng.random() < 0.7:
             return
 
 
 def _may_have_run(history, key):
-    """Return what the caller of a key knows of its earlier requests."""
+    """Return whether, by the caller's answers, a key may have run."""
     return any(
         item.key == key
-        and not item.asked
-        and item.told.outcome not in PROMISES
+        and not item.is_lookup
+        and item.answer.outcome not in NOT_RUN_OUTCOMES
         for item in history
     )
 
@@ -249,7 +251,7 @@
 async def _cast(cluster, index, key, pipeline, rng, history, *, turn, repeat):
     body = "other" if rng.random() < 0.03 else "film"
     ms = rng.choice((300, 1000, 2000))
-    began = time.time()
+    started_at = time.time()
     call = ballots.cast(
         cluster,
         index,
@@ -260,46 +262,50 @@
         repeat=repeat,
     )
     try:
-        # A paused instance answers nothing; a caller waits only so long.
-        told = await asyncio.wait_for(call, ms / 1000 + 1.0)
+        # A paused instance does not answer; a caller's wait is limited.
+        answer = await asyncio.wait_for(call, ms / 1000 + 1.0)
     except TimeoutError:
-        told = ballots.Told(None, None, None)
-    history.append(Heard(key, told, turn=turn, repeat=repeat, began=began))
+        answer = ballots.Told(None, None, None)
+    history.append(
+        Observation(
+            key, answer, turn=turn, repeat=repeat, started_at=started_at
+        )
+    )
 
 
-async def _ask(cluster, index, key, pipeline, history):
+async def _look_up(cluster, index, key, pipeline, history):
     call = ballots.ask(cluster, index, key, pipeline=pipeline)
     try:
-        told = await asyncio.wait_for(call, 1.0)
+        answer = await asyncio.wait_for(call, 1.0)
     except TimeoutError:
         return
-    history.append(Heard(key, told, asked=True))
+    history.append(Observation(key, answer, is_lookup=True))
 
 
 async def _settle(cluster, history, count, seed):
-    """Let late deliveries come in, then ask for each key once more."""
+    """Wait for late deliveries, then look up each key once more."""
     await asyncio.sleep(2 * LATE_S + 1.0)
     final = collections.Counter()
     for number in range(count):
         key = f"s{seed}-{number}"
-        told = await ballots.ask(cluster, number % 2, key)
-        if told.status == 504:
+        answer = await ballots.ask(cluster, number % 2, key)
+        if answer.status == 504:
             await asyncio.sleep(1.0)
-            told = await ballots.ask(cluster, number % 2, key)
-        history.append(Heard(key, told, asked=True))
-        name = "nothing-recorded" if told.status == 404 else told.outcome
+            answer = await ballots.ask(cluster, number % 2, key)
+        history.append(Observation(key, answer, is_lookup=True))
+        name = "nothing-recorded" if answer.status == 404 else answer.outcome
         final[str(name)] += 1
     return final
 
 
 def check(history, runs):
-    """Return the broken promises of a history.
+    """Return the violated guarantees of a history.
 
     Parameters
     ----------
-    history : list of Heard
+    history : list of Observation
     runs : list of dict
-        Each run an endpoint logged: ``key``, ``request``, ``attempt``.
+        Each run that an endpoint logged: ``key``, ``request``, ``attempt``.
 
     Returns
     -------
@@ -312,72 +318,75 @@
     >>> check([], runs)
     []
     >>> raw = b'{"request": "r", "outcome": "not-run"}'
-    >>> check([Heard("k", ballots.Told(503, "not-run", raw))], runs)
+    >>> check([Observation("k", ballots.Told(503, "not-run", raw))], runs)
     ['k: request r told not-run, and ran']
-    >>> ran = Heard("k", ballots.Told(504, "outcome-unknown", raw))
+    >>> first = Observation("k", ballots.Told(504, "outcome-unknown", raw))
     >>> raw = b'{"request": "s", "outcome": "not-run"}'
-    >>> again = Heard("k", ballots.Told(503, "not-run", raw), turn=1, began=2)
-    >>> check([ran, again], runs)
+    >>> retry = Observation(
+    ...     "k", ballots.Told(503, "not-run", raw), turn=1, started_at=2
+    ... )
+    >>> check([first, retry], runs)
     ['k: told 503 not-run in turn 1 (repeat None) after r of turn 0 ran']
-    >>> check([ran, again._replace(began=0.5)], runs)
+    >>> check([first, retry._replace(started_at=0.5)], runs)
     []
     """
     by_key = collections.defaultdict(list)
     for item in runs:
         by_key[item["key"].partition("/")[2]].append(item["request"])
-    broken = [
+    violations = [
         f"{key}: ran {len(requests)} times"
         for key, requests in by_key.items()
         if len(requests) > 1
     ]
     for run in runs:
-        broken += _check_key(history, run)
+        violations += _check_not_run(history, run)
     answers = collections.defaultdict(set)
     for item in history:
-        broken += _check_one(item, by_key[item.key], answers[item.key])
-    broken += [
+        violations += _check_answer(item, by_key[item.key], answers[item.key])
+    violations += [
         f"{key}: {len(raws)} answers"
         for key, raws in answers.items()
         if len(raws) > 1
     ]
-    return broken
+    return violations
 
 
-def _check_key(history, run):
-    """Return each "not run" told of a key after a request with it had run.
+def _check_not_run(history, run):
+    """Return each "not run" answer for a key after a request with it ran.
 
     Notes
     -----
-    Who does not tell whether it repeats may hear "not run" while the call
-    of an earlier request is still on its way; who tells may not.
+    A caller that does not state whether it repeats may receive "not run"
+    while the call of an earlier request is in flight; one that does may
+    not.
     """
     key, request = run["key"].partition("/")[2], run["request"]
-    own = [item for item in history if item.key == key and not item.asked]
+    own = [item for item in history if item.key == key and not item.is_lookup]
     turns = {item.request: item.turn for item in own if item.request}
     return [
-        f"{key}: told {item.told.status} {item.told.outcome} in turn"
+        f"{key}: told {item.answer.status} {item.answer.outcome} in turn"
         f" {item.turn} (repeat {item.repeat}) after {request} of turn"
         f" {turns[request]} ran"
         for item in own
-        if item.told.outcome in PROMISES
+        if item.answer.outcome in NOT_RUN_OUTCOMES
         and turns.get(request, item.turn) < item.turn
-        and (item.repeat is not None or run["at"] < item.began)
+        and (item.repeat is not None or run["at"] < item.started_at)
     ]
 
 
-def _check_one(item, requests, answers):
-    told = item.told
-    if told.status is None:
+def _check_answer(item, requests, answers):
+    answer = item.answer
+    if answer.status is None:
         return []
-    body = json.loads(told.raw)
+    body = json.loads(answer.raw)
     request = body.get("request")
-    if told.outcome in PROMISES:
+    if answer.outcome in NOT_RUN_OUTCOMES:
         if request in requests:
-            name = told.outcome
+            name = answer.outcome
             return [f"{item.key}: request {request} told {name}, and ran"]
         return []
-    if told.outcome == "complete" or "ran" in body:
-        answers.add(told.raw)
+    if answer.outcome == "complete" or "ran" in body:
+        answers.add(answer.raw)
         if requests != [request]:
             return [f"{item.key}: told {request} ran; runs: {requests}"]
         output = body["output"] if "output" in body else body["ran"]["output"]
@@ -385,6 +394,6 @@
         if recorded and recorded != f"gaucho/{item.key}":
             return [f"{item.key}: told the output of {recorded}"]
         return []
-    if told.outcome != "outcome-unknown":
-        return [f"{item.key}: told {told.outcome} ({body})"]
+    if answer.outcome != "outcome-unknown":
+        return [f"{item.key}: told {answer.outcome} ({body})"]
     return []
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,4 +1,4 @@
-"""Processor time of one routing decision and one admission, by size."""
+"""Processor time of a routing decision and an admission, by size."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 
 class _Members:
-    """Gives all endpoints, with a report for each."""
+    """A membership in which all endpoints are available and report load."""
 
     def __init__(self, config):
         self._config = config
@@ -76,7 +76,7 @@
     )
 
 
-def _warm(part, config):
+def _record_calls(part, config):
     for endpoint in config.endpoints["language"]:
         call = adapters.Call("r", "generate", "a", 1000.0, "dossier")
         answer = adapters.StageAnswer("text", 100)
@@ -85,19 +85,19 @@
 
 
 def measure(candidates, teams, policy="balanced", *, logged=False):
-    """Return microseconds of processor time by decision.
+    """Return microseconds of processor time for each decision.
 
     Parameters
     ----------
     candidates, teams : int
     policy : str
     logged : bool
-        Whether the decision's log line is written too.
+        Whether to write the decision's log line too.
 
     Returns
     -------
     dict
-        ``route`` and ``admit``.
+        ``route_us`` and ``admit_us``, with the sizes measured.
     """
     config = _config(candidates, teams)
     settings = _settings(policy)
@@ -105,23 +105,23 @@
     part = router.Router(
         settings=settings, membership=_Members(config), log=log
     )
-    _warm(part, config)
+    _record_calls(part, config)
     stage = config.sections["pipelines"]["summary"]["stages"][-1]
-    asked = [_request(config, number, teams) for number in range(ROUNDS)]
-    begun = time.process_time()
-    for number, request in enumerate(asked):
+    calls = [_request(config, number, teams) for number in range(ROUNDS)]
+    started_at = time.process_time()
+    for number, request in enumerate(calls):
         part.choose(request, stage, 0.2, prefix=str(number % 100))
-    route = time.process_time() - begun
-    admit = asyncio.run(_admit(settings, asked))
+    route_s = time.process_time() - started_at
+    admit_s = asyncio.run(_admit(settings, calls))
     return {
         "candidates": candidates,
         "teams": teams,
-        "route_us": route / ROUNDS * 1e6,
-        "admit_us": admit / ROUNDS * 1e6,
+        "route_us": route_s / ROUNDS * 1e6,
+        "admit_us": admit_s / ROUNDS * 1e6,
     }
 
 
-async def _admit(settings, asked):
+async def _admit(settings, calls):
     part = admission.Admission(
         settings=settings,
         limits=limits.Limits(
@@ -130,19 +130,21 @@
         live_count=lambda _: 410,
         clock=time.monotonic,
     )
-    begun = time.process_time()
-    for request in asked:
+    started_at = time.process_time()
+    for request in calls:
         ticket = await part.acquire(request, 0.0)
         if hasattr(ticket, "gate"):
             part.release(ticket, 0.1)
-    return time.process_time() - begun
+    return time.process_time() - started_at
 
 
 def slope(rows, by, figure):
-    """Return the least-squares slope of a figure, for each unit of `by`."""
+    """Return the least-squares slope of a figure per unit of `by`."""
     count = len(rows)
     mean_x = sum(row[by] for row in rows) / count
     mean_y = sum(row[figure] for row in rows) / count
-    above = sum((row[by] - mean_x) * (row[figure] - mean_y) for row in rows)
-    below = sum((row[by] - mean_x) ** 2 for row in rows)
-    return above / below if below else 0.0
+    covariance = sum(
+        (row[by] - mean_x) * (row[figure] - mean_y) for row in rows
+    )
+    variance = sum((row[by] - mean_x) ** 2 for row in rows)
+    return covariance / variance if variance else 0.0
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,15 +1,15 @@
-"""The deployments of today, scaled so that one machine can overload them.
+"""The current deployments, scaled so that one machine can overload them.
 
-Times and slots of the stand-ins are chosen so that a deployment's
-capacity is some tens of requests a second: then neither the load
-generator nor the daemons' processor time is what limits a run.
+Times and slots of the stand-ins give a deployment a capacity of some tens
+of requests per second, so that neither the load generator nor the daemons'
+processor time limits a run.
 """
 
 import typing
 
 from sycamoreshed.kernel import registry
 
-__all__ = ["DEPLOYMENTS", "Deployment", "capacity", "plain_name"]
+__all__ = ["DEPLOYMENTS", "Deployment", "capacity", "region_of"]
 
 DEPLOYMENTS = registry.Registry(kind="deployment")
 
@@ -24,13 +24,13 @@
 SUMMARY_SHARE = 0.6
 SUMMARY_MS = 3000
 READ_MS = 1000
-# One way between regions takes a couple of tens of milliseconds.
+# The one-way delay between regions is a few tens of milliseconds.
 FAR_ROUND_TRIP_S = 0.04
 NEAR_ROUND_TRIP_S = 0.001
 
 
 class Deployment(typing.NamedTuple):
-    """What is run.
+    """A configuration, its stand-ins and its traffic.
 
     Parameters
     ----------
@@ -58,13 +58,13 @@
     tariff: dict
 
 
-def plain_name(zone):
+def region_of(zone):
     """Return the region of a zone."""
     return zone.rpartition("-")[0]
 
 
 def capacity(deployment):
-    """Return requests a second of all pipelines the engines can take."""
+    """Return the request rate of all pipelines that the engines can serve."""
     engines = [spec for spec in deployment.specs if spec["kind"] == "engine"]
     seconds = ENGINE["prefill_s"] + ENGINE["tokens"] * ENGINE["token_s"]
     return len(engines) * ENGINE["slots"] / seconds / SUMMARY_SHARE
@@ -75,7 +75,7 @@
 
 
 def _pools(service, zones, kind):
-    every = zones[::3]
+    pool_zones = zones[::3]
     return [
         {
             "kind": kind,
@@ -84,7 +84,7 @@
             "zone": zone,
             **POOL,
         }
-        for number, zone in enumerate(every, 1)
+        for number, zone in enumerate(pool_zones, 1)
     ]
 
 
@@ -101,13 +101,19 @@
     ]
 
 
-def _build(*, name, regions, model, engines, plain, once, shares, tariff):
+def _build(
+    *, name, regions, model, engines, plain, non_repeatable, shares, tariff
+):
     zones = _zones(regions)
     pools = ("encoder", "retriever", "reranker")
     services = {service: {"kind": "pool"} for service in pools}
     services[model] = {"kind": "engine"}
     services |= {service: {"kind": "plain"} for service in plain}
-    services[once] = {"kind": "plain", "repeatable": False, "lookup": True}
+    services[non_repeatable] = {
+        "kind": "plain",
+        "repeatable": False,
+        "lookup": True,
+    }
     stages = [
         {"name": "encode", "service": "encoder", "share": 0.1},
         {"name": "retrieve", "service": "retriever", "share": 0.1},
@@ -115,24 +121,24 @@
         {"name": "generate", "service": model, "share": 0.7},
     ]
     pipelines = {"summary": {"stages": stages, "deadline_ms": SUMMARY_MS}}
-    for service in (*plain, once):
+    for service in (*plain, non_repeatable):
         stage = {"name": service, "service": service}
         pipelines[service] = {"stages": [stage], "deadline_ms": READ_MS}
     specs = _engines(model, (zones * 2)[:engines])
     for service in pools:
         specs += _pools(service, zones, "pool")
-    for service in (*plain, once):
+    for service in (*plain, non_repeatable):
         specs += _pools(service, zones, "plain")
-    rest = (1 - SUMMARY_SHARE) / len((*plain, once))
+    rest_share = (1 - SUMMARY_SHARE) / len((*plain, non_repeatable))
     mix = {"summary": SUMMARY_SHARE}
-    mix |= {service: rest for service in (*plain, once)}
+    mix |= {service: rest_share for service in (*plain, non_repeatable)}
     teams = {
         team: {"rate": 100000, "weight": share}
         for team, share in shares.items()
     }
     sections = {
         "regions": {
-            region: {"zones": [z for z in zones if plain_name(z) == region]}
+            region: {"zones": [z for z in zones if region_of(z) == region]}
             for region in regions
         },
         "services": services,
@@ -151,7 +157,7 @@
         model="curation",
         engines=9,
         plain=["schedule", "members", "catalogue"],
-        once="ballot",
+        non_repeatable="ballot",
         shares={
             "gaucho": 0.35,
             "ilha": 0.30,
@@ -172,7 +178,7 @@
         model="commentary",
         engines=5,
         plain=["portal", "feed", "billing"],
-        once="desk",
+        non_repeatable="desk",
         shares={
             "squid": 0.35,
             "milkfish": 0.30,
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""The load generator: sends each arrival at its time, and notes the end."""
+"""Load generator: sends each arrival when due and records the result."""
 
 import asyncio
 import random
@@ -12,12 +12,11 @@
 __all__ = ["Sample", "send_all"]
 
 GRACE_S = 3.0
-# Below this share of the deadline the answer came from a refusal.
 _PIPELINE = "/v1/pipelines/"
 
 
 class Sample(typing.NamedTuple):
-    """What became of one arrival.
+    """The result of one arrival.
 
     Parameters
     ----------
@@ -29,9 +28,9 @@
     first_s : float or None
         From when it was due to the first token.
     lag_s : float
-        How late the generator sent it.
+        Delay of the generator in sending it.
     attained : bool
-        Whole answer within the deadline.
+        Whether the full answer came within the deadline.
     """
 
     at: float
@@ -45,14 +44,14 @@
 
 
 async def send_all(world, arrivals, *, seed):
-    """Send arrivals, not waiting for answers; return the samples.
+    """Send arrivals without waiting for answers; return the samples.
 
     Parameters
     ----------
     world : World
     arrivals : list of Arrival
     seed : int
-        Of the balancer's choices.
+        Seed of the balancer's choices.
 
     Returns
     -------
@@ -74,10 +73,10 @@
 
 
 async def _send(session, world, daemon, arrival, start):
-    due = start + arrival.at
-    lag = time.monotonic() - due
+    due_at = start + arrival.at
+    lag_s = time.monotonic() - due_at
     spec = world.deployment.sections["pipelines"][arrival.pipeline]
-    deadline = spec["deadline_ms"] / 1000
+    deadline_s = spec["deadline_ms"] / 1000
     body = {"input": arrival.text, "stream": arrival.pipeline == "summary"}
     headers = {
         "Team": arrival.team,
@@ -85,8 +84,8 @@
         "Idempotency-Key": uuid.uuid4().hex,
         "Idempotency-Repeat": "false",
     }
-    timeout = aiohttp.ClientTimeout(total=deadline + GRACE_S)
-    first = None
+    timeout = aiohttp.ClientTimeout(total=deadline_s + GRACE_S)
+    first_at = None
     try:
         async with session.post(
             f"http://{daemon.public}{_PIPELINE}{arrival.pipeline}",
@@ -94,37 +93,37 @@
             headers=headers,
             timeout=timeout,
         ) as answer:
-            outcome, first = await _read(answer)
+            outcome, first_at = await _read(answer)
     except (aiohttp.ClientError, TimeoutError, OSError) as err:
         outcome = type(err).__name__
-    seconds = time.monotonic() - due
+    seconds = time.monotonic() - due_at
     return Sample(
         at=arrival.at,
         team=arrival.team,
         pipeline=arrival.pipeline,
         outcome=outcome,
         seconds=seconds,
-        first_s=None if first is None else first - due,
-        lag_s=lag,
-        attained=outcome == "complete" and seconds <= deadline,
+        first_s=None if first_at is None else first_at - due_at,
+        lag_s=lag_s,
+        attained=outcome == "complete" and seconds <= deadline_s,
     )
 
 
 async def _read(answer):
-    """Return the outcome and when the first token came."""
+    """Return the outcome and the time of the first token, or None."""
     if answer.content_type != "text/event-stream":
         raw = await answer.read()
         if answer.status == 200:
             return answer.headers.get("Outcome", "complete"), None
         return msgspec.json.decode(raw)["outcome"], None
-    first = None
+    first_at = None
     last = b""
     async for chunk in answer.content.iter_any():
-        if first is None:
-            first = time.monotonic()
+        if first_at is None:
+            first_at = time.monotonic()
         last = (last + chunk)[-4096:]
     if b"event: done" in last:
-        return "complete", first
+        return "complete", first_at
     if b'"outcome":"' in last:
         tail = last.rpartition(b'"outcome":"')[2]
         return tail.partition(b'"')[0].decode(), None
--- a/bench/tests/test_chaos.py
+++ b/bench/tests/test_chaos.py
@@ -1,4 +1,4 @@
-"""The check of a history finds each kind of broken promise."""
+"""The check of a history finds each kind of violated guarantee."""
 
 import json
 
@@ -10,39 +10,39 @@
 RUN = {"key": "gaucho/k", "request": "r", "attempt": "a"}
 
 
-def heard(outcome, request="r", **members):
+def observation(outcome, request="r", **members):
     body = {"request": request, "outcome": outcome, **members}
     raw = json.dumps(body).encode()
-    return chaos.Heard("k", ballots.Told(200, outcome, raw))
+    return chaos.Observation("k", ballots.Told(200, outcome, raw))
 
 
-def whole(recorded="gaucho/k", request="r"):
-    return heard("complete", request, output={"recorded": recorded})
+def complete(recorded="gaucho/k", request="r"):
+    return observation("complete", request, output={"recorded": recorded})
 
 
-NOTHING = chaos.Heard("k", ballots.Told(None, None, None))
+NO_ANSWER = chaos.Observation("k", ballots.Told(None, None, None))
 
 
 @pytest.mark.parametrize(
-    ("history", "runs", "broken"),
+    ("history", "runs", "violations"),
     [
-        ([whole(), whole(), NOTHING], [RUN], 0),
-        ([heard("outcome-unknown")], [RUN], 0),
-        ([heard("not-run", "other"), whole()], [RUN], 0),
+        ([complete(), complete(), NO_ANSWER], [RUN], 0),
+        ([observation("outcome-unknown")], [RUN], 0),
+        ([observation("not-run", "other"), complete()], [RUN], 0),
         (
-            [heard("failed", ran={"output": {"recorded": "gaucho/k"}})],
+            [observation("failed", ran={"output": {"recorded": "gaucho/k"}})],
             [RUN],
             0,
         ),
         ([], [RUN, RUN], 1),
-        ([heard("not-run")], [RUN], 1),
-        ([whole()], [], 1),
-        ([whole(request="other")], [RUN], 1),
-        ([whole("gaucho/other")], [RUN], 1),
-        ([whole(), heard("complete", output="two")], [RUN], 1),
-        ([heard("failed")], [RUN], 1),
-        ([heard("late")], [], 1),
+        ([observation("not-run")], [RUN], 1),
+        ([complete()], [], 1),
+        ([complete(request="other")], [RUN], 1),
+        ([complete("gaucho/other")], [RUN], 1),
+        ([complete(), observation("complete", output="two")], [RUN], 1),
+        ([observation("failed")], [RUN], 1),
+        ([observation("late")], [], 1),
     ],
 )
-def test_check(history, runs, broken):
-    assert len(chaos.check(history, runs)) == broken
+def test_check(history, runs, violations):
+    assert len(chaos.check(history, runs)) == violations
--- a/bench/tests/test_results.py
+++ b/bench/tests/test_results.py
@@ -1,4 +1,4 @@
-"""Figures are counted from when a request was due, not when sent."""
+"""Figures count from the time a request was due, not from sending."""
 
 from bench import arrivals
 from bench import deployments
@@ -38,9 +38,9 @@
 
 
 @pytest.mark.parametrize("name", scenarios.SCENARIOS.names())
-@pytest.mark.parametrize("place", deployments.DEPLOYMENTS.names())
-def test_every_scenario_plans_within_its_time(name, place):
-    system = deployments.DEPLOYMENTS.get(place)()
+@pytest.mark.parametrize("deployment", deployments.DEPLOYMENTS.names())
+def test_scenario_plan_stays_within_run_length(name, deployment):
+    system = deployments.DEPLOYMENTS.get(deployment)()
     plan = scenarios.SCENARIOS.get(name)(system, 0.9, 9.0)
     drawn = arrivals.draw(plan.phases, system.mix, seed=3)
     assert drawn
@@ -67,12 +67,12 @@
 
 
 @pytest.mark.parametrize(
-    ("good_from", "back"), [(5, 0.0), (7, 2.0), (10, None), (0, 0.0)]
+    ("attained_from", "expected"), [(5, 0.0), (7, 2.0), (10, None), (0, 0.0)]
 )
-def test_time_to_recover(good_from, back):
+def test_time_to_recover(attained_from, expected):
     samples = [
-        sample(second + part / 10, second >= good_from)
+        sample(second + tenth / 10, second >= attained_from)
         for second in range(10)
-        for part in range(10)
+        for tenth in range(10)
     ]
-    assert results.recovered(samples, 5.0, 10.0) == back
+    assert results.recovered(samples, 5.0, 10.0) == expected
--- a/bench/world.py
+++ b/bench/world.py
@@ -1,4 +1,4 @@
-"""Stand-ins and daemons of one run, and what a scenario may do to them."""
+"""Stand-ins and daemons of one run, and the actions of scenarios on them."""
 
 import asyncio
 import contextlib
@@ -25,14 +25,14 @@
     ----------
     daemons : list of Daemon
     ready : list of Daemon
-        Those the platform's balancer would send callers to.
+        Daemons to which the platform's balancer would send callers.
     addresses : dict of str to str
-        Of stand-ins.
+        Addresses of stand-ins, by name.
     """
 
     def __init__(self, *, deployment, session):
         self._session = session
-        self._base = {}
+        self._delays = {}
         self._slow = {}
         self._hosts = []
         self.deployment = deployment
@@ -66,7 +66,7 @@
             await host.wait()
 
     async def balance(self):
-        """Keep `ready` as a platform's balancer does, by health checks."""
+        """Update `ready` by health checks, as a platform's balancer does."""
         while True:
             states = await asyncio.gather(
                 *(self._is_ready(daemon) for daemon in self.daemons)
@@ -79,23 +79,23 @@
             await asyncio.sleep(CHECK_S)
 
     async def faults(self, name, **spec):
-        """Set the faults of a stand-in, beside its distance."""
+        """Set the faults of a stand-in, in addition to its network delays."""
         url = f"http://{self.addresses[name]}/faults"
-        body = {**self._base.get(name, {}), **spec}
+        body = {**self._delays.get(name, {}), **spec}
         async with self._session.post(url, json=body) as answer:
             answer.raise_for_status()
 
     async def slow(self, name, times):
-        """Make a stand-in take `times` as long."""
+        """Slow a stand-in down by a factor of `times`."""
         await self.faults(name, slow=times)
 
     async def store(self, up):
-        """Take the table service and the object store away, or back."""
+        """Take the table service and the object store down, or up again."""
         for name in ("table", "objects"):
             await self.faults(name, down=not up)
 
     async def lose_zone(self, zone):
-        """End the instances and endpoints of a zone."""
+        """Kill the instances and take down the endpoints of a zone."""
         for daemon in self.daemons:
             if daemon.document["zone"] == zone:
                 await daemon.kill()
@@ -104,14 +104,14 @@
                 await self.faults(spec["name"], down=True)
 
     async def restart_all(self):
-        """Stop and start each instance in turn."""
+        """Restart the instances one after another."""
         for daemon in self.daemons:
             await daemon.stop()
             await daemon.start()
             await daemon.wait_ready()
 
     async def get(self, address, path):
-        """Return the text of an answer, or None when there is none."""
+        """Return the text of an answer, or None if the call fails."""
         try:
             async with self._session.get(f"http://{address}{path}") as answer:
                 return await answer.text()
@@ -141,20 +141,20 @@
         zones = self.deployment.zones
         step = max(1, len(zones) // instances)
         documents = []
-        # A network of its own, so that two benches take no port from
-        # each other between asking for it and listening on it.
+        # A separate loopback network, so that concurrent runs cannot take
+        # each other's free port before a daemon listens on it.
         net = 2 + os.getpid() % 250
         for index in range(instances):
             zone = zones[index * step % len(zones)]
-            own = f"127.0.{net}.{index + 1}"
+            host = f"127.0.{net}.{index + 1}"
             documents.append(
                 builders.settings_document(
                     self.addresses,
-                    public=f"{own}:{processes.free_port(own)}",
-                    control=f"{own}:{processes.free_port(own)}",
+                    public=f"{host}:{processes.free_port(host)}",
+                    control=f"{host}:{processes.free_port(host)}",
                     instance=f"entry-{index + 1}",
                     zone=zone,
-                    region=deployments.plain_name(zone),
+                    region=deployments.region_of(zone),
                     **changes,
                 )
             )
@@ -172,7 +172,9 @@
                 zone=spec["zone"],
                 slots=spec["slots"],
             )
-            self._base[spec["name"]] = {"delay_from": self._far(spec)}
+            self._delays[spec["name"]] = {
+                "delay_from": self._round_trips(spec)
+            }
         added = {**self.deployment.sections, "endpoints": endpoints}
         url = f"http://{self.daemons[0].control}/control/notes"
         note = builders.note(0, added=added)
@@ -180,8 +182,8 @@
             if answer.status != 200:
                 raise RuntimeError(await answer.text())
 
-    def _far(self, spec):
-        region = deployments.plain_name(spec["zone"])
+    def _round_trips(self, spec):
+        region = deployments.region_of(spec["zone"])
         delays = {}
         for daemon in self.daemons:
             seconds = deployments.NEAR_ROUND_TRIP_S
@@ -193,14 +195,14 @@
 
 @contextlib.asynccontextmanager
 async def running(deployment, *, instances, changes):
-    """Run a deployment for the time of a block.
+    """Context manager that runs a deployment.
 
     Parameters
     ----------
     deployment : Deployment
     instances : int
     changes : dict
-        To the settings of each daemon.
+        Changes to the settings of each daemon.
     """
     async with aiohttp.ClientSession() as session:
         world = World(deployment=deployment, session=session)
