--- a/bench/orders.py
+++ b/bench/orders.py
@@ -1,8 +1,8 @@
 """Measures orders to engines: ``python -m bench.orders PART``.
 
-Parts: ``takeover`` (holder killed), ``note`` (from a note to the last
-engine that holds it), ``store`` (what the lease costs the table service
-and the settled engines cost the holder).
+Parts: ``takeover`` (after the lease holder is killed), ``note`` (from a
+note to the last engine that has applied it), ``store`` (the load of the
+lease on the table service, and of settled engines on the holder).
 """
 
 import asyncio
@@ -18,7 +18,8 @@
 __all__ = ["main"]
 
 ZONE = "north-a"
-# Short lengths, so that twenty runs take minutes; stated with figures.
+# Short lease and order times, so that twenty runs take minutes; the
+# figures state them.
 FAST = {"lease_s": 1.6, "lease_margin_s": 0.3, "order_longest_s": 1.0}
 POLL_S = 0.01
 RUNS = 20
@@ -38,15 +39,15 @@
         return await answer.json()
 
 
-async def _holder(cluster, among):
+async def _holder(cluster, candidates):
     while True:
-        for index in among:
+        for index in candidates:
             if (await _status(cluster, index))["holds"]:
                 return index
         await asyncio.sleep(POLL_S)
 
 
-async def _place(cluster, base, part, **changes):
+async def _apply_placement(cluster, base, part, **changes):
     spec = {"model": "m", "replicas": {ZONE: 1}, **changes}
     note = builders.note(base, **{part: {"placements": {"main": spec}}})
     status, body = await cluster.apply(0, note)
@@ -55,13 +56,13 @@
 
 
 async def _until_loaded(cluster, count, wanted):
-    """Wait until the holder has read back the wanted state of all."""
+    """Wait until the holder has read the wanted state from all engines."""
     index = await _holder(cluster, range(len(cluster.daemons)))
     while True:
-        found = (await _status(cluster, index))["engines"].values()
-        loaded = [item["loaded"] or {} for item in found]
-        held = [item for item in loaded if wanted.items() <= item.items()]
-        if len(held) >= count:
+        engines = (await _status(cluster, index))["engines"].values()
+        loaded = [item["loaded"] or {} for item in engines]
+        matching = [item for item in loaded if wanted.items() <= item.items()]
+        if len(matching) >= count:
             return
         await asyncio.sleep(POLL_S)
 
@@ -81,13 +82,13 @@
     ) as cluster:
         for _ in range(runs):
             first = await _holder(cluster, range(3))
-            # Each has seen the row as standby before the holder goes.
+            # Lets each standby read the lease row before the holder is killed.
             await asyncio.sleep(1.0)
             others = [index for index in range(3) if index != first]
-            begin = time.monotonic()
+            started_at = time.monotonic()
             await cluster.daemons[first].kill()
             await _holder(cluster, others)
-            seconds.append(time.monotonic() - begin)
+            seconds.append(time.monotonic() - started_at)
             await cluster.daemons[first].start()
     return _summary(seconds)
 
@@ -98,7 +99,7 @@
         specs=_engines(count), loads_at_once=count, **FAST
     ) as cluster:
         base = {"replicas": {ZONE: count}, "version": "0", "floor": 0}
-        await _place(cluster, 1, "added", **base)
+        await _apply_placement(cluster, 1, "added", **base)
         await _until_loaded(cluster, count, {"version": "0"})
         for run in range(1, runs + 1):
             if kind == "adapters":
@@ -107,11 +108,13 @@
                 change = {"version": str(run)}
             if kind == "rolling":
                 change["floor"] = count - 1
-            begin = time.monotonic()
-            await _place(cluster, run + 1, "changed", **{**base, **change})
+            started_at = time.monotonic()
+            await _apply_placement(
+                cluster, run + 1, "changed", **{**base, **change}
+            )
             change.pop("floor", None)
             await _until_loaded(cluster, count, change)
-            seconds.append(time.monotonic() - begin)
+            seconds.append(time.monotonic() - started_at)
     return _summary(seconds)
 
 
@@ -122,7 +125,7 @@
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-async def _traffic(cluster, index):
+async def _order_bytes(cluster, index):
     url = f"http://{cluster.daemons[index].public}/metrics"
     async with cluster.session.get(url) as answer:
         text = await answer.text()
@@ -139,7 +142,7 @@
             {
                 "holds": status["holds"],
                 **status["store"],
-                "bytes": await _traffic(cluster, index),
+                "bytes": await _order_bytes(cluster, index),
                 "cpu_s": _cpu_s(daemon.process.pid),
             }
         )
@@ -147,13 +150,13 @@
 
 
 async def _store(daemons, engines):
-    """Return costs a second of the holder and of the others."""
+    """Return the costs per second of the holder and of the others."""
     async with processes.cluster(
         daemons=daemons, specs=_engines(engines)
     ) as cluster:
         if engines:
             base = {"replicas": {ZONE: engines}, "version": "0"}
-            await _place(cluster, 1, "added", **base)
+            await _apply_placement(cluster, 1, "added", **base)
             await _until_loaded(cluster, engines, {"version": "0"})
         await _holder(cluster, range(daemons))
         await asyncio.sleep(30.0)
@@ -181,14 +184,14 @@
         yield {"lengths": "6+2 s", **await _takeover({}, 5)}
     elif part == "note":
         for count in (4, 16, 64):
-            found = await _note(count, RUNS, "adapters")
-            yield {"engines": count, "change": "adapters", **found}
+            figures = await _note(count, RUNS, "adapters")
+            yield {"engines": count, "change": "adapters", **figures}
         for count in (4, 16, 64):
-            found = await _note(count, RUNS, "version")
-            yield {"engines": count, "change": "version, floor 0", **found}
+            figures = await _note(count, RUNS, "version")
+            yield {"engines": count, "change": "version, floor 0", **figures}
         for count in (4, 8):
-            found = await _note(count, 3, "rolling")
-            yield {"engines": count, "change": "one at a time", **found}
+            figures = await _note(count, 3, "rolling")
+            yield {"engines": count, "change": "one at a time", **figures}
     elif part == "store":
         for daemons, engines in ((1, 86), (9, 4), (9, 43)):
             yield await _store(daemons, engines)
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -22,9 +22,9 @@
 __all__ = ["main"]
 
 IN_FLIGHT = (1, 16, 64)
-# Drawn for each call: after a pause calls of equal length would return
-# together again and again, and their queue would be measured.
-TAKES_S = (0.05, 0.15)
+# Drawn for each call: after a pause, calls of equal length would keep
+# returning together, and the run would measure their queue.
+SERVICE_TIMES_S = (0.05, 0.15)
 TOKENS = 100
 TOKEN_S = 0.01
 RUN_S = 2.0
@@ -45,10 +45,10 @@
     Parameters
     ----------
     median, p95 : float
-        Seconds of a call beyond the time its endpoint was told to take.
+        Seconds of a call beyond the time requested of its endpoint.
     calls : int
     processor : float
-        Seconds the daemon ran for a call.
+        Processor seconds of the daemon for each call.
     """
 
     median: float
@@ -86,7 +86,7 @@
 
 
 async def post(cluster, url, body):
-    """Send one call and read all of its answer."""
+    """Send one call and read its full answer."""
     async with cluster.session.post(url, json=body, headers=HEADERS) as answer:
         raw = await answer.read()
         answer.raise_for_status()
@@ -94,46 +94,52 @@
         raise RuntimeError(raw.decode())
 
 
-async def measure(cluster, url, make_body, in_flight, takes=TAKES_S):
-    """Keep so many calls in flight for a while."""
-    draw = random.Random(in_flight)
+async def measure(
+    cluster, url, make_body, in_flight, service_times_s=SERVICE_TIMES_S
+):
+    """Keep `in_flight` calls in flight for `RUN_S`; return a `Run`."""
+    rng = random.Random(in_flight)
     pid = cluster.daemons[0].process.pid
     times = []
     end = time.perf_counter() + RUN_S
 
     async def worker(index):
-        # All at once would measure the queue of a burst.
-        await asyncio.sleep(TAKES_S[1] * index / in_flight)
+        # Starting all at once would measure the queue of a burst.
+        await asyncio.sleep(SERVICE_TIMES_S[1] * index / in_flight)
         while True:
-            take = draw.uniform(*takes)
-            body = make_body({"text": DOSSIER, "take_s": take})
+            service_s = rng.uniform(*service_times_s)
+            body = make_body({"text": DOSSIER, "take_s": service_s})
             start = time.perf_counter()
             await post(cluster, url, body)
             now = time.perf_counter()
-            times.append(now - start - take)
+            times.append(now - start - service_s)
             if now > end:
                 return
 
     before = proc.usage(pid).seconds
     await asyncio.gather(*(worker(index) for index in range(in_flight)))
-    used = proc.usage(pid).seconds - before
+    used_s = proc.usage(pid).seconds - before
     times.sort()
     return Run(
         statistics.median(times),
         times[int(len(times) * 0.95)],
         len(times),
-        used / len(times),
+        used_s / len(times),
     )
 
 
-async def compare(cluster, ways, in_flight, repetitions):
-    """Measure both ways in turns; return pairs of runs."""
-    direct, path, takes, _ = ways
+async def compare(cluster, paths, in_flight, repetitions):
+    """Measure both paths alternately; return pairs of runs."""
+    direct, routed, service_times_s, _ = paths
     pairs = []
     for _ in range(repetitions):
-        one = await measure(cluster, *direct, in_flight, takes)
-        other = await measure(cluster, *path, in_flight, takes)
-        pairs.append((one, other))
+        direct_run = await measure(
+            cluster, *direct, in_flight, service_times_s
+        )
+        routed_run = await measure(
+            cluster, *routed, in_flight, service_times_s
+        )
+        pairs.append((direct_run, routed_run))
     return pairs
 
 
@@ -151,7 +157,7 @@
     line = {
         "kind": kind,
         "in_flight": in_flight,
-        "calls": sum(other.calls for _, other in pairs),
+        "calls": sum(routed.calls for _, routed in pairs),
         "ratio": spread([b.median / a.median for a, b in pairs]),
         "direct_ms": spread([a.median * 1e3 for a, _ in pairs]),
         "added_ms": spread([(b.median - a.median) * 1e3 for a, b in pairs]),
@@ -164,7 +170,7 @@
 
 
 async def busy(repetitions, program):
-    """Measure calls, whole and streamed."""
+    """Measure unary and streamed calls."""
     async with processes.cluster(specs=specs(), program=program) as cluster:
         daemon = f"http://{cluster.daemons[0].public}/v1/pipelines"
         plain = f"http://{cluster.addresses['catalogue-1']}/call"
@@ -172,7 +178,7 @@
         unary = (
             (plain, direct_body),
             (f"{daemon}/catalogue", lambda payload: {"input": payload}),
-            TAKES_S,
+            SERVICE_TIMES_S,
             1,
         )
         streamed = (
@@ -191,10 +197,10 @@
             "added": {"pipelines": {"write": WRITE}},
         }
         await cluster.apply(0, note)
-        for kind, ways in (("unary", unary), ("streamed", streamed)):
+        for kind, paths in (("unary", unary), ("streamed", streamed)):
             for in_flight in IN_FLIGHT:
-                pairs = await compare(cluster, ways, in_flight, repetitions)
-                report(kind, in_flight, pairs, ways[-1])
+                pairs = await compare(cluster, paths, in_flight, repetitions)
+                report(kind, in_flight, pairs, paths[-1])
 
 
 WRITE = {
@@ -228,13 +234,15 @@
             line = {"kind": "stages", "stages": count, "processor_ms": used}
             print(json.dumps(line), flush=True)
         for count in OPEN:
-            resident = await with_open(cluster, f"{base}/write", count)
+            resident = await resident_with_streams(
+                cluster, f"{base}/write", count
+            )
             line = {"kind": "open streams", "open": count}
             print(json.dumps({**line, "resident_mb": resident}), flush=True)
 
 
 def chain(count):
-    """Return a pipeline of so many unary stages."""
+    """Return a pipeline of `count` unary stages."""
     return {
         "stages": [
             {"name": f"s{index}", "service": "catalogue"}
@@ -245,12 +253,12 @@
 
 
 def plain_input(_payload):
-    """Return a body whose stages take the stand-in's own time."""
+    """Return a body whose stages take the stand-in's default time."""
     return {"input": DOSSIER}
 
 
-async def with_open(cluster, url, count):
-    """Return the resident megabytes with so many streams open."""
+async def resident_with_streams(cluster, url, count):
+    """Return the resident megabytes with `count` streams open."""
     body = {"input": DOSSIER, "stream": True}
     calls = [
         asyncio.create_task(post(cluster, url, body)) for _ in range(count)
@@ -262,17 +270,17 @@
 
 
 async def idle(program):
-    """Measure three daemons that nobody calls."""
+    """Measure three daemons that receive no calls."""
     async with processes.cluster(
         daemons=3, proxied=True, program=program
     ) as cluster:
         await asyncio.sleep(5)
         pids = [daemon.process.pid for daemon in cluster.daemons]
         before = [proc.usage(pid) for pid in pids]
-        sent = traffic(cluster)
+        initial = traffic(cluster)
         await asyncio.sleep(IDLE_S)
         after = [proc.usage(pid) for pid in pids]
-        moved = traffic(cluster) - sent
+        transferred = traffic(cluster) - initial
     shares = [
         (b.seconds - a.seconds) / IDLE_S * 100
         for a, b in zip(before, after, strict=True)
@@ -281,13 +289,13 @@
         "kind": "idle",
         "core_percent": spread(shares),
         "resident_mb": spread([b.resident / 2**20 for b in after], 1),
-        "control_bytes_per_s": round(moved / IDLE_S / len(pids)),
+        "control_bytes_per_s": round(transferred / IDLE_S / len(pids)),
     }
     print(json.dumps(line), flush=True)
 
 
 def traffic(cluster):
-    """Return the bytes that went through all proxies, both ways."""
+    """Return the bytes through all proxies, in both directions."""
     return sum(
         proxy.bytes_in + proxy.bytes_out for proxy in cluster.proxies.values()
     )
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plots of one run."""
+"""Plots of the figures of one run."""
 
 import matplotlib
 
--- a/bench/results.py
+++ b/bench/results.py
@@ -1,4 +1,4 @@
-"""Results of a run: figures as JSON, from samples and the daemons."""
+"""Figures of a run as JSON, from samples and the daemons' metrics."""
 
 import collections
 import re
@@ -8,16 +8,16 @@
 
 __all__ = ["gather", "recovered", "summarise"]
 
-BACK = 0.99
+RECOVERED_SHARE = 0.99
 
-HIGHEST_US = 60_000_000
+MAX_US = 60_000_000
 DIGITS = 3
 PERCENTILES = (50, 90, 95, 99)
 _LINE = re.compile(
     r"^sycamoreshed_(?P<name>\w+)(?:\{(?P<labels>.*)\})? (?P<value>\S+)$"
 )
 _LABEL = re.compile(r'(\w+)="([^"]*)"')
-_KEPT = {
+_METRICS = {
     "stage_seconds_sum",
     "stage_seconds_count",
     "cross_region_bytes_total",
@@ -27,7 +27,7 @@
 
 
 def summarise(samples, seconds):
-    """Return the figures a run is compared by.
+    """Return the figures by which runs are compared.
 
     Parameters
     ----------
@@ -44,8 +44,8 @@
     for sample in samples:
         teams[sample.team].append(sample)
         pipelines[sample.pipeline].append(sample)
-    # What is queued at the start hides an overload for some seconds, so
-    # the second half is told by itself.
+    # Queues that fill at the start hide an overload for some seconds, so
+    # the second half is also reported by itself.
     settled = [sample for sample in samples if sample.at >= seconds / 2]
     return {
         "requests": len(samples),
@@ -83,30 +83,34 @@
 
 
 def recovered(samples, since, seconds):
-    """Return how long after `since` attainment is back, or None.
+    """Return the time from `since` until attainment recovers, or None.
 
     Parameters
     ----------
     samples : list of Sample
     since, seconds : float
-        When the disturbance ended, and the run; seconds.
+        End of the disturbance and end of the run, in seconds.
 
     Returns
     -------
     float or None
         Seconds from `since` to the first second from which at least
-        `BACK` of all requests up to the end of the run are attained.
+        `RECOVERED_SHARE` of all requests up to the end of the run are
+        attained, and as many in that second.
     """
     for second in range(int(since), int(seconds)):
-        rest = [sample for sample in samples if sample.at >= second]
-        now = [sample for sample in rest if sample.at < second + 1]
-        if now and min(_share(rest), _share(now)) >= BACK:
+        remaining = [sample for sample in samples if sample.at >= second]
+        current = [sample for sample in remaining if sample.at < second + 1]
+        if (
+            current
+            and min(_share(remaining), _share(current)) >= RECOVERED_SHARE
+        ):
             return second - since
     return None
 
 
 async def gather(world):
-    """Return what daemons and engines counted.
+    """Return the counters of daemons and engines.
 
     Returns
     -------
@@ -118,7 +122,7 @@
         text = await world.get(daemon.public, "/metrics")
         for line in (text or "").splitlines():
             match = _LINE.match(line)
-            if match is None or match["name"] not in _KEPT:
+            if match is None or match["name"] not in _METRICS:
                 continue
             labels = dict(_LABEL.findall(match["labels"] or ""))
             stage = labels.get("stage", "all")
@@ -138,16 +142,16 @@
 
 
 def _goodput(samples, seconds):
-    """Return requests attained a second in the second half."""
+    """Return attained requests per second in the second half."""
     half = seconds / 2
     return sum(item.attained for item in samples if item.at >= half) / half
 
 
 def _spread(values):
     """Return percentiles in seconds, and the histogram itself."""
-    histogram = HdrHistogram(1, HIGHEST_US, DIGITS)
+    histogram = HdrHistogram(1, MAX_US, DIGITS)
     for value in values:
-        histogram.record_value(min(HIGHEST_US, max(1, int(value * 1e6))))
+        histogram.record_value(min(MAX_US, max(1, int(value * 1e6))))
     if not histogram.get_total_count():
         return None
     figures = {
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -1,4 +1,4 @@
-"""One run of one scenario, and comparing several."""
+"""Running a scenario, and comparing results of runs."""
 
 import asyncio
 import collections
@@ -18,7 +18,7 @@
 
 RESULT = "result.json"
 NOON = 12.0
-CANCEL_AGAIN_S = 1.0
+CANCEL_RETRY_S = 1.0
 
 
 async def run(scenario, *, deployment, seed, seconds, level, changes, count):
@@ -32,9 +32,9 @@
     level : float
         Load as a share of the capacity.
     changes : dict
-        To the daemons' settings.
+        Changes to the daemons' settings.
     count : int
-        Entry instances.
+        Number of entry instances.
 
     Returns
     -------
@@ -42,7 +42,7 @@
     """
     system = deployments.DEPLOYMENTS.get(deployment)()
     plan = scenarios.SCENARIOS.get(scenario)(system, level, seconds)
-    drawn = arrivals.draw(
+    requests = arrivals.draw(
         plan.phases, system.mix, seed=seed, prefixes=plan.prefixes
     )
     hour = NOON if plan.hour is None else plan.hour
@@ -53,17 +53,17 @@
     ) as world:
         background = [
             asyncio.create_task(world.balance()),
-            asyncio.create_task(_events(world, plan.events)),
+            asyncio.create_task(_run_events(world, plan.events)),
         ]
-        spent = time.process_time()
-        samples = await load.send_all(world, drawn, seed=seed)
-        spent = time.process_time() - spent
-        await _end(background)
+        cpu_s = time.process_time()
+        samples = await load.send_all(world, requests, seed=seed)
+        cpu_s = time.process_time() - cpu_s
+        await _cancel_all(background)
         counted = await results.gather(world)
     figures = results.summarise(samples, seconds)
     if plan.calm is not None:
-        back = results.recovered(samples, plan.calm, seconds)
-        figures["recovered_s"] = back
+        recovered_s = results.recovered(samples, plan.calm, seconds)
+        figures["recovered_s"] = recovered_s
     return {
         "scenario": scenario,
         "deployment": deployment,
@@ -74,29 +74,29 @@
         "settings": changes,
         "figures": figures,
         "counted": counted,
-        "generator_cpu_share": spent / seconds,
+        "generator_cpu_share": cpu_s / seconds,
     }
 
 
-async def _end(tasks):
-    """Cancel tasks until they end; raise what one of them died of.
+async def _cancel_all(tasks):
+    """Cancel tasks until all end; raise the exception of a failed one.
 
     Notes
     -----
-    A cancel that meets the timeout of an HTTP call can be taken for it
-    and be lost; the run would then never end.
+    A cancellation that coincides with the timeout of an HTTP call can be
+    mistaken for it and lost; without a retry the run would never end.
     """
     pending = set(tasks)
     while pending:
         for task in pending:
             task.cancel()
-        _, pending = await asyncio.wait(pending, timeout=CANCEL_AGAIN_S)
+        _, pending = await asyncio.wait(pending, timeout=CANCEL_RETRY_S)
     for task in tasks:
         if not task.cancelled() and task.exception() is not None:
             raise task.exception()
 
 
-async def _events(world, events):
+async def _run_events(world, events):
     start = time.monotonic()
     for event in sorted(events):
         await asyncio.sleep(max(0, start + event.at - time.monotonic()))
@@ -104,27 +104,27 @@
 
 
 def read(paths):
-    """Return the results in files and folders."""
-    found = []
+    """Return the results stored in files and folders."""
+    stored = []
     for path in map(pathlib.Path, paths):
         files = sorted(path.rglob(RESULT)) if path.is_dir() else [path]
-        found += [json.loads(file.read_text()) for file in files]
-    return found
+        stored += [json.loads(file.read_text()) for file in files]
+    return stored
 
 
-def compare(found):
-    """Return table rows: one for each setting, with mean and spread.
+def compare(stored):
+    """Return table rows: one per group of settings, with mean and spread.
 
     Parameters
     ----------
-    found : list of dict
+    stored : list of dict
 
     Returns
     -------
     list of list of str
     """
     groups = collections.defaultdict(list)
-    for result in found:
+    for result in stored:
         settings = {
             name: value
             for name, value in result["settings"].items()
@@ -143,7 +143,9 @@
     rows = [head.split()]
     for key, items in sorted(groups.items()):
         columns = zip(*(_figures(item) for item in items), strict=True)
-        rows.append([*map(str, key), str(len(items)), *map(_mean, columns)])
+        rows.append(
+            [*map(str, key), str(len(items)), *map(_mean_and_spread, columns)]
+        )
     return rows
 
 
@@ -171,7 +173,7 @@
     )
 
 
-def _mean(values):
+def _mean_and_spread(values):
     known = [value for value in values if value is not None]
     if not known:
         return "-"
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios: rates over time, and what happens at which moment."""
+"""Scenarios: request rates over time, and timed events."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
 
 class Event(typing.NamedTuple):
-    """Something done to the running system.
+    """An action on the running system.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
 
 
 class Plan(typing.NamedTuple):
-    """What a scenario does.
+    """Load and events of a scenario.
 
     Parameters
     ----------
@@ -37,9 +37,9 @@
     events : list of Event
     prefixes : int
     hour : float or None
-        Hour of the day the daemons are told, for the tariff.
+        Hour of the day passed to the daemons, for the tariff.
     calm : float or None
-        When a disturbance ends, for the time to recover.
+        End of the disturbance, from which the time to recover counts.
     """
 
     phases: list
@@ -49,10 +49,10 @@
     calm: float | None = None
 
 
-def _rates(deployment, load, **times):
+def _rates(deployment, load, **factors):
     total = deployments.capacity(deployment) * load
     return {
-        team: total * share * times.get(team, 1.0)
+        team: total * share * factors.get(team, 1.0)
         for team, share in deployment.shares.items()
     }
 
@@ -75,13 +75,13 @@
 
 @SCENARIOS.register("overload")
 def overload(deployment, load, seconds):
-    """Constant load, meant to be over the capacity."""
+    """Constant load; `load` should be above the capacity."""
     return Plan(_flat(deployment, load, seconds))
 
 
 @SCENARIOS.register("burst")
 def burst(deployment, load, seconds):
-    """One small team sends ten times its own from a third on."""
+    """One small team sends ten times its share after the first third."""
     third = seconds / 3
     team = list(deployment.shares)[-1]
     return Plan(
@@ -125,7 +125,7 @@
 
 @SCENARIOS.register("lost_zone")
 def lost_zone(deployment, load, seconds):
-    """A zone, its instances and endpoints are gone from a third on."""
+    """Instances and endpoints of a zone are down after the first third."""
     zone = deployment.zones[0]
     return Plan(
         _flat(deployment, load, seconds),
@@ -135,7 +135,7 @@
 
 @SCENARIOS.register("store_outage")
 def store_outage(deployment, load, seconds):
-    """Table service and object store are away in the middle third."""
+    """Table service and object store are down in the middle third."""
     third = seconds / 3
     return Plan(
         _flat(deployment, load, seconds),
@@ -164,7 +164,7 @@
 
 @SCENARIOS.register("dawn")
 def dawn(deployment, load, seconds):
-    """The hour before dawn: load doubles from a third on."""
+    """The hour before dawn: load doubles after the first third."""
     third = seconds / 3
     return Plan(
         [
@@ -177,7 +177,7 @@
 
 @SCENARIOS.register("recovery")
 def recovery(deployment, load, seconds):
-    """Three times the capacity, then `load` again for as long."""
+    """Three times the capacity, then `load` for the same time."""
     half = seconds / 2
     return Plan(
         [
--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -34,27 +34,27 @@
 
 
 def timed(func, runs):
-    """Return median and worst milliseconds of a function.
+    """Return the median and worst run time of a function in milliseconds.
 
     Examples
     --------
     >>> sorted(timed(list, 3))
     ['median_ms', 'runs', 'worst_ms']
     """
-    found = []
+    times_ms = []
     for _ in range(runs):
         start = time.perf_counter()
         func()
-        found.append((time.perf_counter() - start) * 1000)
+        times_ms.append((time.perf_counter() - start) * 1000)
     return {
         "runs": runs,
-        "median_ms": round(statistics.median(found), 3),
-        "worst_ms": round(max(found), 3),
+        "median_ms": round(statistics.median(times_ms), 3),
+        "worst_ms": round(max(times_ms), 3),
     }
 
 
 def large_note():
-    """Return the note that sets all of it up."""
+    """Return the note that creates the full configuration."""
     teams = {
         f"team-{n:05d}": {"rate": n % 90 + 1.0, "weight": n % 3 + 1.0}
         for n in range(TEAMS)
@@ -82,7 +82,7 @@
 
 
 def measure_config():
-    """Return times and memory of the configuration."""
+    """Return run times and memory of operations on the configuration."""
     note = large_note()
     raw = msgspec.json.encode(note)
     config = state.apply_note(state.EMPTY, note)
@@ -91,7 +91,7 @@
         "endpoint-1": builders.endpoint_spec("10.0.9.9:80", zone="north-0")
     }
     on_endpoint = builders.note(1, changed={"endpoints": changed})
-    part = msgspec.json.encode(state.document_part(config, 0))
+    raw_part = msgspec.json.encode(state.document_part(config, 0))
     parts = [
         state.document_part(config, number)
         for number in range(state.count_parts(config))
@@ -115,7 +115,7 @@
             50,
         ),
         "decode and check one part": (
-            lambda: state.check_part(msgspec.json.decode(part)),
+            lambda: state.check_part(msgspec.json.decode(raw_part)),
             50,
         ),
         "join all parts": (lambda: state.join_parts(parts), 20),
@@ -134,60 +134,63 @@
     config = state.apply_note(state.EMPTY, note)
     del note
     gc.collect()
-    whole = tracemalloc.get_traced_memory()[0]
-    later = state.apply_note(config, on_team)
-    more = tracemalloc.get_traced_memory()[0] - whole
+    full_bytes = tracemalloc.get_traced_memory()[0]
+    next_config = state.apply_note(config, on_team)
+    added_bytes = tracemalloc.get_traced_memory()[0] - full_bytes
     tracemalloc.stop()
     return {
-        "configuration MiB": round(whole / 2**20, 2),
-        "next version more MiB": round(more / 2**20, 2),
-        "version": later.version,
+        "configuration MiB": round(full_bytes / 2**20, 2),
+        "next version more MiB": round(added_bytes / 2**20, 2),
+        "version": next_config.version,
     }
 
 
 def measure_view():
-    """Return times and memory of what is known of 410 instances."""
+    """Return run times and memory of the view of 410 instances."""
     settings = types.SimpleNamespace(
         instance="entry-000", advertise="10.1.0.1:9", zone=ZONES[0], region="n"
     )
     gc.collect()
     tracemalloc.start()
-    held = view.View(settings=settings, generation=1)
+    members_view = view.View(settings=settings, generation=1)
     for number in range(1, INSTANCES):
         zone = ZONES[number % len(ZONES)]
         value = [1, 0, f"10.1.{number // 250}.{number % 250}:9", zone, zone[0]]
-        held.receive(
+        members_view.receive(
             members.TOPIC, f"entry-{number:03d}", value, ("p", 1), 0.0
         )
-    size = tracemalloc.get_traced_memory()[0]
+    size_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    held.merge_heartbeats({zone: 5 for zone in ZONES}, 0.0)
-    near = [item.name for item in held.alive_in_zone(1.0)]
+    members_view.merge_heartbeats({zone: 5 for zone in ZONES}, 0.0)
+    same_zone = [item.name for item in members_view.alive_in_zone(1.0)]
     return {
-        "records of 410 instances MiB": round(size / 2**20, 3),
-        "alive": timed(lambda: held.alive(1.0), 100),
-        "partners": timed(lambda: held.partners(1.0, avoid=set()), 100),
+        "records of 410 instances MiB": round(size_bytes / 2**20, 3),
+        "alive": timed(lambda: members_view.alive(1.0), 100),
+        "partners": timed(
+            lambda: members_view.partners(1.0, avoid=set()), 100
+        ),
         "watchers of one zone's endpoints": timed(
             lambda: [
-                rendezvous.top(f"endpoint-{n}", near, 2)
+                rendezvous.top(f"endpoint-{n}", same_zone, 2)
                 for n in range(ENDPOINTS // len(ZONES))
             ],
             20,
         ),
         "message without news": timed(
-            lambda: held.since(held.last, same_zone=True), 1000
+            lambda: members_view.since(members_view.last, same_zone=True), 1000
         ),
         "first message with all": timed(
-            lambda: msgspec.json.encode(held.since(0, same_zone=True)), 50
+            lambda: msgspec.json.encode(members_view.since(0, same_zone=True)),
+            50,
         ),
         "bytes of all records": len(
-            msgspec.json.encode(held.since(0, same_zone=True))
+            msgspec.json.encode(members_view.since(0, same_zone=True))
         ),
     }
 
 
 def main(argv=None):
-    """Print all of it as JSON."""
+    """Print all measurements as JSON."""
     argparse.ArgumentParser(description=__doc__).parse_args(argv)
     body = {"config": measure_config(), "view": measure_view()}
     print(json.dumps(body, indent=1))
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -26,17 +26,17 @@
     "south": ["south-a", "south-b", "south-c"],
 }
 ENDPOINTS_PER_INSTANCE = 600 / 410
-LEAVERS_LEFT = 4
+REMAINING_ENDPOINTS = 4
 IDLE_S = 30.0
 SETTLE_S = 6.0
-CALLS_PER_S = 300.0  # by all instances together
+CALLS_PER_S = 300.0  # through all instances together
 LEAVE_S = 3.5
 NOTE_WAIT_S = 30.0
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
 def summary(seconds):
-    """Return number of runs, median and worst.
+    """Return the number of runs, the median and the worst time.
 
     Examples
     --------
@@ -51,7 +51,7 @@
 
 
 def slope(points):
-    """Return growth for each instance more, by least squares.
+    """Return the least-squares growth per additional instance.
 
     Examples
     --------
@@ -76,7 +76,7 @@
 
 
 def lines(cluster):
-    """Return all daemons' log lines, each list with wall-clock seconds."""
+    """Return each daemon's log lines, with wall-clock seconds as ``s``."""
     return [
         [
             {**line, "s": _seconds(line["time"])}
@@ -104,23 +104,23 @@
 
 
 async def control_bytes(cluster):
-    """Return bytes by purpose, of each daemon."""
+    """Return the control bytes of each daemon, by purpose."""
     result = []
     for daemon in cluster.daemons:
         url = f"http://{daemon.public}/metrics"
         async with cluster.session.get(url) as answer:
             text = await answer.text()
-        found = {}
+        by_purpose = {}
         for line in text.splitlines():
             if line.startswith("sycamoreshed_control_bytes_total{"):
                 purpose = line.split('"')[1]
-                found[purpose] = float(line.split()[-1])
-        result.append(found)
+                by_purpose[purpose] = float(line.split()[-1])
+        result.append(by_purpose)
     return result
 
 
 async def measure_idle(cluster):
-    """Measure what each daemon spends without requests and notes."""
+    """Measure the resources each daemon uses without requests and notes."""
     await asyncio.sleep(SETTLE_S)
     start = time.monotonic()
     used, sent = usage(cluster), await control_bytes(cluster)
@@ -159,8 +159,8 @@
 
 
 async def measure_notes(cluster, base, runs):
-    """Apply notes one by one; return seconds to the last instance."""
-    result = []
+    """Apply notes one by one; return seconds from first to last instance."""
+    versions = []
     for number in range(base, base + runs):
         note = builders.note(
             number, added={"teams": {f"team-{number}": {"rate": 5}}}
@@ -169,17 +169,17 @@
         status, body = await cluster.apply(index, note)
         if status != 200:
             raise RuntimeError(body)
-        result.append(number + 1)
-        await _wait_for(cluster, number + 1)
-    times = {version: [] for version in result}
-    for own in lines(cluster):
-        for line in own:
+        versions.append(number + 1)
+        await _wait_for_version(cluster, number + 1)
+    times = {version: [] for version in versions}
+    for daemon_lines in lines(cluster):
+        for line in daemon_lines:
             if line.get("version") in times:
                 times[line["version"]].append(line["s"])
-    return [max(times[item]) - min(times[item]) for item in result]
+    return [max(times[item]) - min(times[item]) for item in versions]
 
 
-async def _wait_for(cluster, version):
+async def _wait_for_version(cluster, version):
     async with asyncio.timeout(NOTE_WAIT_S):
         for daemon in cluster.daemons:
             url = f"http://{daemon.control}/control/version"
@@ -199,12 +199,12 @@
 
 
 async def measure_leaving(cluster, names, runs):
-    """List endpoints as leaving one by one, with load on all.
+    """List endpoints as leaving one by one, under load on all instances.
 
     Returns
     -------
     list of float
-        Seconds from each notice to the last request sent there.
+        Seconds from each notice to the last request routed to the endpoint.
     """
     tasks = [
         asyncio.create_task(_load(cluster, index))
@@ -212,7 +212,7 @@
     ]
     await asyncio.sleep(LEAVE_S)
     url = f"http://{cluster.addresses['instances']}/instances"
-    listed, noticed = [], {}
+    listed, noticed_at = [], {}
     for number, name in enumerate(names[:runs]):
         listed.append(
             {
@@ -223,26 +223,35 @@
                 "generation": number + 1,
             }
         )
-        noticed[name] = time.time()
-        async with cluster.session.put(url, json={"instances": listed}) as got:
-            got.raise_for_status()
+        noticed_at[name] = time.time()
+        async with cluster.session.put(
+            url, json={"instances": listed}
+        ) as answer:
+            answer.raise_for_status()
         await asyncio.sleep(LEAVE_S)
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    chosen = {name: [] for name in noticed}
-    for own in lines(cluster):
-        for line in own:
-            if line.get("decision") == "route" and line["choice"] in chosen:
-                chosen[line["choice"]].append(line["s"])
-    return [last_after(chosen[name], at) for name, at in noticed.items()]
+    route_times = {name: [] for name in noticed_at}
+    for daemon_lines in lines(cluster):
+        for line in daemon_lines:
+            if (
+                line.get("decision") == "route"
+                and line["choice"] in route_times
+            ):
+                route_times[line["choice"]].append(line["s"])
+    return [
+        last_after(route_times[name], at) for name, at in noticed_at.items()
+    ]
 
 
 async def run_size(size, runs):
-    """Measure one number of instances; return a dictionary."""
+    """Measure a cluster of `size` instances; return its figures."""
     zones = [zone for region in ZONES.values() for zone in region]
-    placed = [zones[index % len(zones)] for index in range(size)]
-    count = max(runs + LEAVERS_LEFT, round(size * ENDPOINTS_PER_INSTANCE))
+    daemon_zones = [zones[index % len(zones)] for index in range(size)]
+    count = max(
+        runs + REMAINING_ENDPOINTS, round(size * ENDPOINTS_PER_INSTANCE)
+    )
     specs = [
         {"kind": "plain", "name": f"catalogue-{number}"}
         for number in range(count)
@@ -252,9 +261,9 @@
         stack.push_async_callback(host.wait)
         stack.callback(host.terminate)
         cluster = await stack.enter_async_context(
-            processes.cluster(daemons=size, specs=[], zones=placed)
+            processes.cluster(daemons=size, specs=[], zones=daemon_zones)
         )
-        await _place(cluster, addresses, zones)
+        await _configure(cluster, addresses, zones)
         result = {"size": size, "endpoints": count}
         result["idle"] = await measure_idle(cluster)
         result["note_s"] = await measure_notes(cluster, 2, runs)
@@ -266,7 +275,7 @@
     return result
 
 
-async def _place(cluster, addresses, zones):
+async def _configure(cluster, addresses, zones):
     endpoints = {
         name: builders.endpoint_spec(
             address, "catalogue", zone=zones[number % len(zones)]
@@ -280,7 +289,7 @@
     status, body = await cluster.apply(0, note)
     if status != 200:
         raise RuntimeError(body)
-    await _wait_for(cluster, 2)
+    await _wait_for_version(cluster, 2)
 
 
 def table(results):
@@ -305,12 +314,12 @@
 
 
 def slopes(results):
-    """Return what each instance more costs every instance, idle."""
-    found = {}
+    """Return the idle cost to every instance of one additional instance."""
+    growth = {}
     for key in ("bytes_per_s", "core_percent", "resident_mib"):
         points = [(item["size"], item["idle"][key]) for item in results]
-        found[key] = round(slope(points), 4)
-    return found
+        growth[key] = round(slope(points), 4)
+    return growth
 
 
 def main(argv=None):
