--- a/bench/ballots.py
+++ b/bench/ballots.py
@@ -68,11 +68,11 @@
         )
         last = await cluster.get("table", "/counts")
     for name in ("writes", "reads"):
-        own = after[name] - before[name] - idle[name] * elapsed_s
-        again = last[name] - after[name]
+        net_use = after[name] - before[name] - idle[name] * elapsed_s
+        replay_use = last[name] - after[name]
         print(
-            f"{name} a ballot: {own / count:.2f};"
-            f" a repeat: {again / count:.2f} (others' not taken off)"
+            f"{name} a ballot: {net_use / count:.2f};"
+            f" a repeat: {replay_use / count:.2f} (others' not taken off)"
         )
     for name, times in (
         ("read", reads),
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -361,13 +361,15 @@
     not.
     """
     key, request = run["key"].partition("/")[2], run["request"]
-    own = [item for item in history if item.key == key and not item.is_lookup]
-    turns = {item.request: item.turn for item in own if item.request}
+    key_requests = [
+        item for item in history if item.key == key and not item.is_lookup
+    ]
+    turns = {item.request: item.turn for item in key_requests if item.request}
     return [
         f"{key}: told {item.answer.status} {item.answer.outcome} in turn"
         f" {item.turn} (repeat {item.repeat}) after {request} of turn"
         f" {turns[request]} ran"
-        for item in own
+        for item in key_requests
         if item.answer.outcome in NOT_RUN_OUTCOMES
         and turns.get(request, item.turn) < item.turn
         and (item.repeat is not None or run["at"] < item.started_at)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -76,12 +76,12 @@
     )
 
 
-def _record_calls(part, config):
+def _record_calls(instance_router, config):
     for endpoint in config.endpoints["language"]:
         call = adapters.Call("r", "generate", "a", 1000.0, "dossier")
         answer = adapters.StageAnswer("text", 100)
-        part.loads.record_start(endpoint)
-        part.record_result(endpoint, call, answer, 0.0, 0.1)
+        instance_router.loads.record_start(endpoint)
+        instance_router.record_result(endpoint, call, answer, 0.0, 0.1)
 
 
 def measure(candidates, teams, policy="balanced", *, logged=False):
@@ -102,17 +102,19 @@
     config = _config(candidates, teams)
     settings = _settings(policy)
     log = logs.DecisionLog(rate=10**9 if logged else 0)
-    part = router.Router(
+    instance_router = router.Router(
         settings=settings, membership=_Members(config), log=log
     )
-    _record_calls(part, config)
+    _record_calls(instance_router, config)
     stage = config.sections["pipelines"]["summary"]["stages"][-1]
-    calls = [_request(config, number, teams) for number in range(ROUNDS)]
+    request_batch = [
+        _request(config, number, teams) for number in range(ROUNDS)
+    ]
     started_at = time.process_time()
-    for number, request in enumerate(calls):
-        part.choose(request, stage, 0.2, prefix=str(number % 100))
+    for number, request in enumerate(request_batch):
+        instance_router.choose(request, stage, 0.2, prefix=str(number % 100))
     route_s = time.process_time() - started_at
-    admit_s = asyncio.run(_admit(settings, calls))
+    admit_s = asyncio.run(_admit(settings, request_batch))
     return {
         "candidates": candidates,
         "teams": teams,
@@ -121,8 +123,8 @@
     }
 
 
-async def _admit(settings, calls):
-    part = admission.Admission(
+async def _admit(settings, request_batch):
+    instance_admission = admission.Admission(
         settings=settings,
         limits=limits.Limits(
             instance="a", live_count=lambda _: 410, publish=lambda _: None
@@ -131,10 +133,10 @@
         clock=time.monotonic,
     )
     started_at = time.process_time()
-    for request in calls:
-        ticket = await part.acquire(request, 0.0)
+    for request in request_batch:
+        ticket = await instance_admission.acquire(request, 0.0)
         if hasattr(ticket, "gate"):
-            part.release(ticket, 0.1)
+            instance_admission.release(ticket, 0.1)
     return time.process_time() - started_at
 
 
