--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,4 +1,4 @@
-"""Processor time of one routing decision and one admission, by size."""
+"""Processor time of a routing decision and an admission, by size."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 
 class _Members:
-    """Gives all endpoints, with a report for each."""
+    """A membership in which all endpoints are available and report load."""
 
     def __init__(self, config):
         self._config = config
@@ -76,53 +76,55 @@
     )
 
 
-def _warm(part, config):
+def _record_calls(instance_router, config):
     for endpoint in config.endpoints["language"]:
         call = adapters.Call("r", "generate", "a", 1000.0, "dossier")
         answer = adapters.StageAnswer("text", 100)
-        part.loads.record_start(endpoint)
-        part.record_result(endpoint, call, answer, 0.0, 0.1)
+        instance_router.loads.record_start(endpoint)
+        instance_router.record_result(endpoint, call, answer, 0.0, 0.1)
 
 
 def measure(candidates, teams, policy="balanced", *, logged=False):
-    """Return microseconds of processor time by decision.
+    """Return microseconds of processor time for each decision.
 
     Parameters
     ----------
     candidates, teams : int
     policy : str
     logged : bool
-        Whether the decision's log line is written too.
+        Whether to write the decision's log line too.
 
     Returns
     -------
     dict
-        ``route`` and ``admit``.
+        ``route_us`` and ``admit_us``, with the sizes measured.
     """
     config = _config(candidates, teams)
     settings = _settings(policy)
     log = logs.DecisionLog(rate=10**9 if logged else 0)
-    part = router.Router(
+    instance_router = router.Router(
         settings=settings, membership=_Members(config), log=log
     )
-    _warm(part, config)
+    _record_calls(instance_router, config)
     stage = config.sections["pipelines"]["summary"]["stages"][-1]
-    asked = [_request(config, number, teams) for number in range(ROUNDS)]
-    begun = time.process_time()
-    for number, request in enumerate(asked):
-        part.choose(request, stage, 0.2, prefix=str(number % 100))
-    route = time.process_time() - begun
-    admit = asyncio.run(_admit(settings, asked))
+    request_batch = [
+        _request(config, number, teams) for number in range(ROUNDS)
+    ]
+    started_at = time.process_time()
+    for number, request in enumerate(request_batch):
+        instance_router.choose(request, stage, 0.2, prefix=str(number % 100))
+    route_s = time.process_time() - started_at
+    admit_s = asyncio.run(_admit(settings, request_batch))
     return {
         "candidates": candidates,
         "teams": teams,
-        "route_us": route / ROUNDS * 1e6,
-        "admit_us": admit / ROUNDS * 1e6,
+        "route_us": route_s / ROUNDS * 1e6,
+        "admit_us": admit_s / ROUNDS * 1e6,
     }
 
 
-async def _admit(settings, asked):
-    part = admission.Admission(
+async def _admit(settings, request_batch):
+    instance_admission = admission.Admission(
         settings=settings,
         limits=limits.Limits(
             instance="a", live_count=lambda _: 410, publish=lambda _: None
@@ -130,19 +132,21 @@
         live_count=lambda _: 410,
         clock=time.monotonic,
     )
-    begun = time.process_time()
-    for request in asked:
-        ticket = await part.acquire(request, 0.0)
+    started_at = time.process_time()
+    for request in request_batch:
+        ticket = await instance_admission.acquire(request, 0.0)
         if hasattr(ticket, "gate"):
-            part.release(ticket, 0.1)
-    return time.process_time() - begun
+            instance_admission.release(ticket, 0.1)
+    return time.process_time() - started_at
 
 
 def slope(rows, by, figure):
-    """Return the least-squares slope of a figure, for each unit of `by`."""
+    """Return the least-squares slope of a figure per unit of `by`."""
     count = len(rows)
     mean_x = sum(row[by] for row in rows) / count
     mean_y = sum(row[figure] for row in rows) / count
-    above = sum((row[by] - mean_x) * (row[figure] - mean_y) for row in rows)
-    below = sum((row[by] - mean_x) ** 2 for row in rows)
-    return above / below if below else 0.0
+    covariance = sum(
+        (row[by] - mean_x) * (row[figure] - mean_y) for row in rows
+    )
+    variance = sum((row[by] - mean_x) ** 2 for row in rows)
+    return covariance / variance if variance else 0.0
