--- a/tests/footprints.py
+++ b/tests/footprints.py
@@ -1,4 +1,4 @@
-"""What a process of the product must not have, as the system tells it."""
+"""Operating system resources that a process of the product must not use."""
 
 import os
 import pathlib
@@ -10,19 +10,19 @@
 
 
 class Footprint(typing.NamedTuple):
-    """What a process must not have.
+    """Resources that a process must not use, as `/proc` reports them.
 
     Parameters
     ----------
     rings : list of str
-        Open files that are an io_uring.
+        Names of open io_uring files.
     shared : list of str
-        Mapped or open files in shared memory.
+        Names of mapped or open files in shared memory.
     children : list of int
-        Processes started and not yet waited for.
+        Ids of child processes that have not been waited for.
     child_faults : int
-        Page faults of processes waited for; zero if there was none,
-        since none runs without a fault.
+        Page faults of child processes that have been waited for. Zero only
+        if there was no such process, since each causes page faults.
     """
 
     rings: list
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of the forwarding daemon share."""
+"""Shared fixtures for the tests of the forwarding daemon."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 @pytest.fixture
 async def store():
-    """Run a store with a configuration."""
+    """Run a store that holds a configuration."""
     result = platformstore.PlatformStore()
     await result.start()
     result.put("op", "config", wiredata.configuration())
--- a/tests/integration/controls.py
+++ b/tests/integration/controls.py
@@ -1,4 +1,4 @@
-"""Asking daemons over their control addresses, for the tests."""
+"""Helpers that send requests to the control addresses of daemons."""
 
 import asyncio
 import contextlib
@@ -15,44 +15,44 @@
 
 
 async def get(cluster, index, path):
-    """Get JSON from a daemon's control address."""
+    """Return JSON from a path of a daemon's control address."""
     url = f"http://{cluster.daemons[index].control}{path}"
     async with cluster.session.get(url) as answer:
         return await answer.json()
 
 
 async def post(cluster, index, path, body=None):
-    """Post JSON to a daemon's control address."""
+    """Post JSON to a daemon's control address; return status and body."""
     url = f"http://{cluster.daemons[index].control}{path}"
     async with cluster.session.post(url, json=body) as answer:
         return answer.status, await answer.json()
 
 
 async def versions(cluster, indexes):
-    """Return the versions in force on daemons."""
-    asked = [get(cluster, index, "/control/version") for index in indexes]
-    return [body["version"] for body in await asyncio.gather(*asked)]
+    """Return the configuration version that each daemon applies."""
+    requests = [get(cluster, index, "/control/version") for index in indexes]
+    return [body["version"] for body in await asyncio.gather(*requests)]
 
 
 async def until(check, *, wait_s=WAIT_S):
-    """Wait until a coroutine function returns something true; return it."""
+    """Poll a coroutine function until its result is true; return that."""
     async with asyncio.timeout(wait_s):
         while True:
             with contextlib.suppress(aiohttp.ClientError):
-                if found := await check():
-                    return found
+                if result := await check():
+                    return result
             await asyncio.sleep(0.05)
 
 
 def team_note(base, name, *, author="ana", rate=1000):
-    """Return a note that adds a team."""
+    """Return a configuration note that adds a team."""
     return builders.note(
         base, author=author, added={"teams": {name: {"rate": rate}}}
     )
 
 
 async def command(*args):
-    """Run the program; return exit code, decoded output and errors."""
+    """Run a command of the program; return exit code, output and errors."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/tests/integration/harness.py
+++ b/tests/integration/harness.py
@@ -1,4 +1,4 @@
-"""A forwarding daemon between callers and scripted endpoints, for tests."""
+"""Helpers that run a forwarding daemon with scripted endpoints."""
 
 import contextlib
 import json
@@ -14,6 +14,7 @@
     "ENTRY_S",
     "SEAL",
     "URL",
+    "answer_ok",
     "call",
     "call_with_stage",
     "endpoints",
@@ -21,7 +22,6 @@
     "pieces_script",
     "serving",
     "stream_route",
-    "well",
 ]
 
 URL = "http://{}/lookup/a%2Fb//c?q=1"
@@ -32,22 +32,22 @@
 @contextlib.asynccontextmanager
 async def endpoints(store, *scripts, **beat):
     """Run scripted endpoints that are registered in a store."""
-    found = []
+    running = []
     for number, script in enumerate(scripts):
         endpoint = scripted.Endpoint(script)
         await endpoint.start()
         store.put(
             "servers", f"i-{number}", wiredata.beat(endpoint.address, **beat)
         )
-        found.append(endpoint)
-    yield found
-    for endpoint in found:
+        running.append(endpoint)
+    yield running
+    for endpoint in running:
         await endpoint.stop()
 
 
 @contextlib.asynccontextmanager
 async def serving(store, folder, **document):
-    """Run one daemon that is ready, and a session of a caller."""
+    """Run a daemon, wait until it is ready, and open a client session."""
     settings = {"table": store.address, **document}
     async with gateways.gateways(folder, [settings]) as (gateway,):
         await gateway.wait_ready()
@@ -79,7 +79,7 @@
     on_ready=None,
     **route,
 ):
-    """Send a resumable stream with one stage to two like engines.
+    """Request a resumable stream with one stage from two equal engines.
 
     Parameters
     ----------
@@ -88,13 +88,13 @@
     engine : callable
         Script of both engines.
     first : Endpoint
-        Makes the stage's results.
+        Endpoint that computes the stage's results.
     head : dict, optional
         Changes to the request's headers; see `wiredata.head`.
     call_ms : float
-        What the stage's service says a call takes.
+        Declared duration of a call of the stage's service.
     on_ready : callable, optional
-        Takes the daemon before the request is sent.
+        Called with the daemon before the request is sent.
     **route
         Changes to the route.
 
@@ -112,36 +112,39 @@
     store.put("op", "config", {**document, "services": services})
     await first.start()
     store.put("servers", "i-9", wiredata.beat(first.address, service="first"))
-    named = wiredata.head(pieces="1", piece_key="k", **(head or {}))
+    headers = wiredata.head(pieces="1", piece_key="k", **(head or {}))
     async with endpoints(store, engine, engine):
         async with serving(store, folder) as (gateway, session):
             if on_ready is not None:
                 on_ready(gateway)
             status, _, body = await call(
-                session, gateway, "POST", headers=named
+                session, gateway, "POST", headers=headers
             )
     await first.stop()
     return status, body
 
 
-def well(seen):
-    """Answer a request well."""
+def answer_ok(seen):
+    """Answer a request with status 200 and a seal."""
     yield scripted.answer(200, b"whole", **{SEAL: "proof"})
 
 
 def event(number):
-    """Return an event of a stream."""
+    """Return the server-sent event with a number."""
     return f"id: {number}\ndata: token {number}\n\n".encode()
 
 
 def stream_route(**changes):
-    """Return a configuration with a route of streams."""
+    """Return a configuration with one streaming route."""
     route = wiredata.route(route_kind="streaming", **changes)
     return wiredata.configuration(2, routes=[route])
 
 
 def pieces_script(answer):
-    """Return a script of an endpoint that works on pieces."""
+    """Return the script of an endpoint that runs a stage on pieces.
+
+    Its argument maps an item of the request to its result.
+    """
 
     def script(seen):
         if seen.target == "/v1/stage-free":
--- a/tests/integration/test_binary.py
+++ b/tests/integration/test_binary.py
@@ -1,4 +1,4 @@
-"""What a running daemon opens and starts, as modules and as one file."""
+"""Resource use of a running daemon, as modules and as a single file."""
 
 import asyncio
 import pathlib
@@ -13,13 +13,13 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 CALLS = 40
-LOOKS = 5
+MIN_SAMPLES = 5
 BUILD_S = 200
 
 
 @pytest.fixture(scope="module")
 def binary(tmp_path_factory):
-    """Build the one file as `make dist` does."""
+    """Build the single-file program as `make dist` does."""
     folder = tmp_path_factory.mktemp("dist")
     command = ["make", "-o", "setup", "dist"]
     command += [f"VENV={sys.prefix}", f"DIST={folder}"]
@@ -29,18 +29,18 @@
     return folder / "sycamoreshed"
 
 
-async def look_on(daemon, seen):
-    """Take footprints of a daemon again and again."""
+async def sample_footprints(daemon, samples):
+    """Sample footprints of a daemon repeatedly."""
     while True:
-        seen.append(footprints.footprint(daemon.process.pid))
+        samples.append(footprints.footprint(daemon.process.pid))
         await asyncio.sleep(0.02)
 
 
-async def use(cluster):
-    """Use all a daemon does, while looking at its footprint."""
-    seen = []
+async def call_and_sample(cluster):
+    """Send summaries and ballots to a daemon and sample its footprint."""
+    samples = []
     daemon = cluster.daemons[0]
-    looking = asyncio.create_task(look_on(daemon, seen))
+    sampling = asyncio.create_task(sample_footprints(daemon, samples))
     calls = [
         cluster.call(0, "summary", {"input": number})
         for number in range(CALLS)
@@ -50,40 +50,42 @@
         for number in range(CALLS)
     ]
     answers = await asyncio.gather(*calls)
-    while len(seen) < LOOKS:
+    while len(samples) < MIN_SAMPLES:
         await asyncio.sleep(0.02)
-    looking.cancel()
-    seen.append(footprints.footprint(daemon.process.pid))
-    return answers, seen
+    sampling.cancel()
+    samples.append(footprints.footprint(daemon.process.pid))
+    return answers, samples
 
 
-def check(answers, seen, code):
-    """Check that answers are whole and footprints empty."""
+def check(answers, samples, code):
+    """Check that all calls succeeded and all footprints are empty."""
     assert {status for status, _, _ in answers} == {200}
-    assert len(seen) > LOOKS
-    assert set(map(repr, seen)) == {repr(footprints.Footprint([], [], [], 0))}
+    assert len(samples) > MIN_SAMPLES
+    assert set(map(repr, samples)) == {
+        repr(footprints.Footprint([], [], [], 0))
+    }
     assert code == 0
 
 
 async def test_daemon_from_modules():
     """The platform forbids io_uring, shared memory and child processes."""
     async with processes.cluster(grace_s=0.5) as cluster:
-        answers, seen = await use(cluster)
+        answers, samples = await call_and_sample(cluster)
         code = await cluster.daemons[0].stop()
-    check(answers, seen, code)
+    check(answers, samples, code)
 
 
 async def test_daemon_from_one_file(binary, tmp_path):
-    """The one file unpacks itself in its own process, and only there."""
+    """The single file unpacks itself in its own process, under its root."""
     root = tmp_path / "unpacked"
     async with processes.cluster(
         grace_s=0.5,
         program=(sys.executable, str(binary)),
         env={"SHIV_ROOT": str(root)},
     ) as cluster:
-        answers, seen = await use(cluster)
+        answers, samples = await call_and_sample(cluster)
         code = await cluster.daemons[0].stop()
-    check(answers, seen, code)
+    check(answers, samples, code)
     assert [path.name for path in root.iterdir() if path.is_dir()] == [
         path.name for path in root.glob("sycamoreshed_*")
     ]
--- a/tests/integration/test_drain.py
+++ b/tests/integration/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts off no request in flight."""
+"""A planned stop completes all requests in flight."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 async def raw_call(reader, writer):
-    """Call on a connection that is open; return head and whether it ends."""
+    """Send a call on an open connection; return its status and headers."""
     writer.write(RAW_CALL)
     head = await reader.readuntil(b"\r\n\r\n")
     fields = dict(
@@ -28,7 +28,7 @@
 
 
 async def caller(cluster, results):
-    """Call again and again until told that the instance is stopping."""
+    """Repeat calls until one is rejected; return the body of that answer."""
     async with aiohttp.ClientSession() as session:
         url = f"http://{cluster.daemons[0].public}/v1/pipelines/catalogue"
         while True:
@@ -49,7 +49,7 @@
 
 
 async def in_flight(cluster):
-    """Return how many requests the first daemon has in flight."""
+    """Return the number of requests in flight at the first daemon."""
     url = f"http://{cluster.daemons[0].control}/control/status"
     async with cluster.session.get(url) as answer:
         return (await answer.json())["in_flight"]
@@ -70,22 +70,22 @@
 
 
 async def test_stop_under_load():
-    """An operator stops an instance while callers use it.
+    """An instance that is stopped under load finishes its requests.
 
-    Callers would see connections close on requests in flight, or wait
-    for an instance that is about to be gone.
+    Otherwise connections close on requests in flight, or callers wait for
+    an instance that is about to exit.
     """
     async with processes.cluster(
         proxied=True, grace_s=4.0, drain_s=0.0
     ) as cluster:
         daemon = cluster.daemons[0]
         host, _, port = daemon.public.rpartition(":")
-        kept = await asyncio.open_connection(host, int(port))
-        assert (await raw_call(*kept))[0] == b"200"
+        connection = await asyncio.open_connection(host, int(port))
+        assert (await raw_call(*connection))[0] == b"200"
         encoders = [cluster.proxies[f"encoder-{n}"] for n in (1, 2)]
         for proxy in encoders:
             proxy.freeze = True
-        held = asyncio.create_task(
+        pending_call = asyncio.create_task(
             cluster.call(0, "summary", {"input": 1}, Deadline_Ms="240000")
         )
         results = []
@@ -99,22 +99,22 @@
         while await ready(cluster) == 200:
             await asyncio.sleep(0.01)
         served = len(results)
-        told = await asyncio.gather(*callers)
-        again, fields = await raw_call(*kept)
-        assert await kept[0].read() == b""
-        kept[1].close()
-        assert not held.done()
+        rejections = await asyncio.gather(*callers)
+        again, fields = await raw_call(*connection)
+        assert await connection[0].read() == b""
+        connection[1].close()
+        assert not pending_call.done()
         for proxy in encoders:
             proxy.freeze = False
-        status, headers, body = await held
+        status, headers, body = await pending_call
         code = await daemon.stop()
-    # Ready no more, yet served until the grace was over.
+    # No longer ready, but requests were served until the grace was over.
     assert results[served:].count(200) > CALLERS
     assert set(results) == {200, 503}
-    assert {body["type"] for body in told} == {
+    assert {body["type"] for body in rejections} == {
         "urn:sycamoreshed:error:draining"
     }
-    assert {body["outcome"] for body in told} == {"not-run"}
+    assert {body["outcome"] for body in rejections} == {"not-run"}
     assert (again, fields["Connection"]) == (b"503", "close")
     assert (status, headers["Connection"]) == (200, "close")
     assert body["outcome"] == "complete"
@@ -122,7 +122,7 @@
 
 
 async def test_operators_drain_command():
-    """An operator drains an instance by the command line."""
+    """The drain command lets requests in flight complete, then exits."""
     async with processes.cluster() as cluster:
         daemon = cluster.daemons[0]
         calls = [
@@ -144,7 +144,7 @@
 
 
 async def test_stop_with_streams_in_flight():
-    """An operator stops an instance while summaries are being written."""
+    """Streams in flight complete when their instance is stopped."""
     tokens = 300
     specs = [
         {"kind": "pool", "name": "encoder-1"},
@@ -160,14 +160,14 @@
     ]
     async with processes.cluster(specs=specs) as cluster:
         url = f"http://{cluster.daemons[0].public}/v1/pipelines/summary"
-        begun = asyncio.Semaphore(0)
+        started = asyncio.Semaphore(0)
 
         async def stream(session):
             async with session.post(
                 url, json={"input": 1, "stream": True}, headers=HEADERS
             ) as answer:
                 first = await answer.content.readuntil(b"\n\n")
-                begun.release()
+                started.release()
                 return (first + await answer.read()).decode()
 
         async with aiohttp.ClientSession() as session:
@@ -175,7 +175,7 @@
                 asyncio.create_task(stream(session)) for _ in range(CALLERS)
             ]
             for _ in range(CALLERS):
-                await begun.acquire()
+                await started.acquire()
             cluster.daemons[0].send_signal(signal.SIGTERM)
             texts = await asyncio.gather(*streams)
         code = await cluster.daemons[0].stop()
--- a/tests/integration/test_gateway.py
+++ b/tests/integration/test_gateway.py
@@ -1,4 +1,4 @@
-"""The forwarding daemon as a process, between callers and endpoints."""
+"""Requests through the forwarding daemon, run as a process."""
 
 import asyncio
 import contextlib
@@ -11,10 +11,10 @@
 
 
 async def test_a_request_passes_unchanged(store, tmp_path):
-    """Method, path, query, body and proof reach the other side as sent.
+    """Method, path, query, body and response seal are forwarded unchanged.
 
-    What only the system may set is dropped where a caller sends it, and
-    the key is not passed on.
+    Headers that only the system may set are dropped from a caller's
+    request, and its key is not forwarded.
     """
     headers = wiredata.head(
         tenant="team-b",
@@ -31,12 +31,16 @@
             2, routes=[wiredata.route(route_kind="unsafe")]
         ),
     )
-    async with harness.endpoints(store, harness.well) as (endpoint,):
+    async with harness.endpoints(store, harness.answer_ok) as (endpoint,):
         async with harness.serving(store, tmp_path) as (gateway, session):
-            status, told, body = await harness.call(
+            status, answer_headers, body = await harness.call(
                 session, gateway, "POST", headers=headers, data=b"ballot"
             )
-    assert (status, body, told[harness.SEAL]) == (200, b"whole", "proof")
+    assert (status, body, answer_headers[harness.SEAL]) == (
+        200,
+        b"whole",
+        "proof",
+    )
     (seen,) = endpoint.seen
     assert seen.method == "POST"
     assert seen.target == "/lookup/a%2Fb//c?q=1"
@@ -63,25 +67,25 @@
 async def test_who_has_no_route_or_key_is_told(
     store, tmp_path, headers, url, status
 ):
-    async with harness.endpoints(store, harness.well) as (endpoint,):
+    async with harness.endpoints(store, harness.answer_ok) as (endpoint,):
         async with harness.serving(store, tmp_path) as (gateway, session):
-            found, _, _ = await harness.call(
+            actual, _, _ = await harness.call(
                 session,
                 gateway,
                 headers={**wiredata.head(), **headers},
                 url=url,
             )
-    assert found == status
+    assert actual == status
     assert not endpoint.seen
 
 
 async def test_an_answer_without_length_that_is_reset_is_not_whole(
     store, tmp_path
 ):
-    """An endpoint crashes after half an answer that its connection ends.
+    """An endpoint crashes within an answer that has no length.
 
-    The HTTP library takes the reset for the end; a caller would be given
-    half a page as if it were all.
+    The HTTP library takes the connection reset for the end of the body, so
+    that a caller would receive a partial page as if it were complete.
     """
 
     def crash(_seen):
@@ -97,20 +101,22 @@
     )
     async with harness.endpoints(store, crash):
         async with harness.serving(store, tmp_path) as (gateway, session):
-            # Whether bytes and reset are read together is up to chance.
+            # Whether bytes and reset are read together depends on timing.
             results = [
                 await harness.call(session, gateway, "POST") for _ in range(60)
             ]
     assert {status for status, _, _ in results} == {502}
-    assert not any(harness.SEAL in told for _, told, _ in results)
+    assert not any(
+        harness.SEAL in answer_headers for _, answer_headers, _ in results
+    )
 
 
 @pytest.mark.parametrize("kind", ["unsafe", "streaming"])
 async def test_what_may_run_once_is_not_sent_again(store, tmp_path, kind):
-    """An endpoint runs a ballot and its connection breaks before the answer.
+    """The connection of an endpoint breaks before it answers a ballot.
 
-    Sent again, the ballot would be recorded twice; told "not run", the
-    member would vote again.
+    The ballot may have run: a retry would record it twice, and with the
+    outcome "not run" the member would vote again.
     """
 
     def lost(_seen):
@@ -121,17 +127,17 @@
         "config",
         wiredata.configuration(2, routes=[wiredata.route(route_kind=kind)]),
     )
-    async with harness.endpoints(store, lost, lost) as found:
+    async with harness.endpoints(store, lost, lost) as endpoints:
         async with harness.serving(store, tmp_path) as (gateway, session):
             status, _, _ = await harness.call(
                 session, gateway, "POST", data=b"vote"
             )
     assert status == 502
-    assert sum(len(each.seen) for each in found) == 1
+    assert sum(len(each.seen) for each in endpoints) == 1
 
 
 async def test_what_an_endpoint_did_not_run_goes_to_another(store, tmp_path):
-    """One endpoint is full and says that it did not run the ballot."""
+    """An endpoint at capacity reports that it did not run the ballot."""
 
     def full(_seen):
         yield scripted.answer(503, **{"X-Sycamoreshed-Not-Executed": "1"})
@@ -143,18 +149,20 @@
             2, routes=[wiredata.route(route_kind="unsafe")]
         ),
     )
-    async with harness.endpoints(store, full, full, harness.well) as found:
+    async with harness.endpoints(
+        store, full, full, harness.answer_ok
+    ) as endpoints:
         async with harness.serving(store, tmp_path) as (gateway, session):
             results = [
                 await harness.call(session, gateway, "POST", data=b"vote")
                 for _ in range(6)
             ]
     statuses = {status for status, _, _ in results}
-    # Two attempts are allowed; two endpoints are full.
+    # Two attempts are allowed, and two endpoints are at capacity.
     assert 200 in statuses and statuses <= {200, 503}
-    for status, told, _ in results:
-        assert status == 200 or float(told["Retry-After"]) > 0
-    assert all(len(each.seen) <= 6 for each in found)
+    for status, answer_headers, _ in results:
+        assert status == 200 or float(answer_headers["Retry-After"]) > 0
+    assert all(len(each.seen) <= 6 for each in endpoints)
 
 
 async def test_a_promise_without_the_endpoints_word_is_not_passed_on(
@@ -162,7 +170,9 @@
 ):
     """A faulty endpoint answers 503 after it ran a ballot.
 
-    Passed on, the status would tell the member that the vote was not cast.
+    Forwarded without the header by which an endpoint reports that it did
+    not run the request, the status would tell the member that the vote was
+    not cast.
     """
 
     def wrong(_seen):
@@ -177,27 +187,29 @@
     )
     async with harness.endpoints(store, wrong):
         async with harness.serving(store, tmp_path) as (gateway, session):
-            status, told, _ = await harness.call(session, gateway, "POST")
+            status, answer_headers, _ = await harness.call(
+                session, gateway, "POST"
+            )
     assert status == 502
-    assert harness.SEAL not in told
+    assert harness.SEAL not in answer_headers
 
 
 async def test_a_read_that_fails_is_read_elsewhere(store, tmp_path):
-    """One of two endpoints fails all reads; callers notice nothing."""
+    """Reads that fail at one of two endpoints are retried at the other."""
 
     def fails(_seen):
         yield scripted.answer(500, b"no", **{harness.SEAL: "proof"})
 
-    async with harness.endpoints(store, fails, harness.well):
+    async with harness.endpoints(store, fails, harness.answer_ok):
         async with harness.serving(store, tmp_path) as (gateway, session):
             results = [await harness.call(session, gateway) for _ in range(8)]
     assert {status for status, _, _ in results} == {200}
 
 
 async def test_the_only_endpoints_failure_is_told_as_it_is(store, tmp_path):
-    """The one endpoint of a service fails a read, and nobody else is there.
+    """The only endpoint of a service fails a read.
 
-    The caller gets that answer with its proof, not one of ours.
+    The caller receives that answer with its seal, not one of the gateway.
     """
 
     def fails(_seen):
@@ -205,14 +217,19 @@
 
     async with harness.endpoints(store, fails):
         async with harness.serving(store, tmp_path) as (gateway, session):
-            status, told, body = await harness.call(session, gateway)
-    assert (status, body, told[harness.SEAL]) == (500, b"no", "proof")
+            status, answer_headers, body = await harness.call(session, gateway)
+    assert (status, body, answer_headers[harness.SEAL]) == (
+        500,
+        b"no",
+        "proof",
+    )
 
 
 async def test_work_ends_when_the_caller_leaves(store, tmp_path):
-    """A caller hangs up while an engine works.
+    """A caller disconnects while an engine works.
 
-    The engine must hear of it, or it goes on for nobody.
+    Its request to the engine must be closed as well, or the engine
+    continues work that nobody receives.
     """
 
     def slow(_seen):
@@ -231,10 +248,10 @@
 
 
 async def test_a_stop_ends_requests_and_closes_connections(store, tmp_path):
-    """An operator stops an instance while a request runs.
+    """An instance is stopped while a request runs.
 
-    The caller gets its answer, and the process ends with 0 within the
-    grace.
+    The caller receives its answer, and the process exits with 0 within the
+    grace period.
     """
 
     def slow(_seen):
@@ -246,8 +263,8 @@
             running = asyncio.create_task(harness.call(session, gateway))
             await asyncio.sleep(0.3)
             stopping = asyncio.create_task(gateway.stop())
-            status, told, body = await running
+            status, answer_headers, body = await running
             assert (status, body) == (200, b"whole")
-            assert told["Connection"] == "close"
+            assert answer_headers["Connection"] == "close"
             assert not await gateway.is_ready()
             assert await stopping == 0
--- a/tests/integration/test_gateway_readers.py
+++ b/tests/integration/test_gateway_readers.py
@@ -1,4 +1,4 @@
-"""Instances of a zone of which one reads the store for the others."""
+"""One instance of a zone reads the store on behalf of the others."""
 
 import asyncio
 import contextlib
@@ -14,136 +14,138 @@
 SIZE = 6
 STABLE_S = 5.0
 APPLY_S = 5.0
-# Longer than a call at the store is held: those that began at the start, by
-# each instance, have ended.
+# Longer than the store holds a long poll open, so that the polls that each
+# instance started with have ended.
 SETTLE_S = 7.0
 
 
 @contextlib.asynccontextmanager
-async def zone(store, folder, *, ways=None, scripts=(harness.well,)):
-    """Run instances that know of each other and of their reader.
+async def zone(
+    store, folder, *, store_addresses=None, scripts=(harness.answer_ok,)
+):
+    """Run instances that have discovered each other and their reader.
 
     Parameters
     ----------
     store : PlatformStore
     folder : pathlib.Path
-    ways : list of str, optional
-        Address by which each instance reaches the store.
+    store_addresses : list of str, optional
+        Address of the store, or of a proxy to it, for each instance.
     scripts : sequence of callable
-        Of the endpoints; none if they run already.
+        Scripts of the endpoints; empty if they run already.
     """
-    ways = ways or [store.address] * SIZE
+    store_addresses = store_addresses or [store.address] * SIZE
     documents = [
         {
             "instance": f"edge-{number}",
-            "table": way,
+            "table": address,
             "stable_ms": int(STABLE_S * 1000),
             "apply_ms": int(APPLY_S * 1000),
         }
-        for number, way in enumerate(ways)
+        for number, address in enumerate(store_addresses)
     ]
     async with (
         harness.endpoints(store, *scripts),
-        gateways.gateways(folder, documents) as found,
+        gateways.gateways(folder, documents) as instances,
     ):
-        for each in found:
+        for each in instances:
             await each.wait_ready()
         await asyncio.sleep(SETTLE_S)
-        yield found
+        yield instances
 
 
-def reader(found):
-    """Return the instance that the others ask."""
+def reader(instances):
+    """Return the instance that the others read through."""
     controls = {
         each.events("reader")[-1]["reader"]
-        for each in found
+        for each in instances
         if each.events("reader")
     }
     (control,) = controls - {None}
-    return next(each for each in found if each.control == control)
+    return next(each for each in instances if each.control == control)
 
 
 @contextlib.asynccontextmanager
-async def proxied_ways(store):
-    """Put a proxy between each instance and the store."""
+async def proxied_links(store):
+    """Run a proxy between each instance and the store."""
     async with contextlib.AsyncExitStack() as stack:
-        found = [proxies.Proxy(target=store.address) for _ in range(SIZE)]
-        for each in found:
+        running = [proxies.Proxy(target=store.address) for _ in range(SIZE)]
+        for each in running:
             await each.start()
             stack.push_async_callback(each.stop)
-        yield found
+        yield running
 
 
-async def read_by_another(found, first):
+async def wait_new_reader(instances, first):
     """Wait until instances agree on a new reader; return its address."""
     async with asyncio.timeout(SETTLE_S + STABLE_S):
         while True:
-            named = {each.events("reader")[-1]["reader"] for each in found}
+            named = {each.events("reader")[-1]["reader"] for each in instances}
             named -= {None, first.control}
             if len(named) == 1:
                 return named.pop()
             await asyncio.sleep(0.05)
 
 
-async def answered(found, endpoint):
-    """Call through each instance; return how much an endpoint got of it."""
+async def count_served(instances, endpoint):
+    """Send calls through each instance; count those at one endpoint."""
     before = len(endpoint.seen)
     async with aiohttp.ClientSession() as session:
-        for each in found * 4:
+        for each in instances * 4:
             assert (await harness.call(session, each))[0] == 200
     return len(endpoint.seen) - before
 
 
-async def refused(found):
-    """Wait until none of the instances takes the key; return the seconds."""
+async def wait_refused(instances):
+    """Wait until all instances reject the key; return the seconds."""
     clock = asyncio.get_running_loop().time
-    began = clock()
+    started_at = clock()
     async with aiohttp.ClientSession() as session:
-        for each in found:
+        for each in instances:
             while (await harness.call(session, each))[0] != 401:
                 await asyncio.sleep(0.05)
-    return clock() - began
+    return clock() - started_at
 
 
 async def test_one_instance_reads_for_its_zone(store, tmp_path):
-    """Each instance would take a share of the calls that the store allows."""
-    async with zone(store, tmp_path) as found:
+    """Only the reader calls the store, to stay within the store's limit."""
+    async with zone(store, tmp_path) as instances:
         before = len(store.calls)
         await asyncio.sleep(8.0)
-        control = reader(found).control
-        told = [(await each.status())["reader"] for each in found]
-        assert sorted(told, key=str) == sorted(
+        control = reader(instances).control
+        readers = [(await each.status())["reader"] for each in instances]
+        assert sorted(readers, key=str) == sorted(
             [None, *[control] * (SIZE - 1)], key=str
         )
-        # Three tables, calls of 3.5 s and more; each by itself makes 5 each
-        # 8 s, thirty in all.
+        # Three tables, long polls of 3.5 s and more: an instance that reads
+        # for itself makes 5 calls in 8 s, so that six make 30.
         assert len(store.calls) - before <= 12
 
 
 async def test_a_revoked_key_is_refused_though_the_reader_is_frozen(
     store, tmp_path
 ):
-    """A frozen reader would keep the news from its whole zone."""
-    async with zone(store, tmp_path) as found:
-        frozen = reader(found)
+    """A frozen reader would withhold the update from its whole zone."""
+    async with zone(store, tmp_path) as instances:
+        frozen = reader(instances)
         frozen.process.send_signal(signal.SIGSTOP)
         store.put("op", "config", wiredata.configuration(9, tenants=[]))
-        others = [each for each in found if each is not frozen]
-        assert await refused(others) < APPLY_S
+        others = [each for each in instances if each is not frozen]
+        assert await wait_refused(others) < APPLY_S
         frozen.process.send_signal(signal.SIGCONT)
-        assert await refused([frozen]) < STABLE_S
+        assert await wait_refused([frozen]) < STABLE_S
 
 
 async def test_a_revoked_key_is_refused_though_the_reader_is_killed(
     store, tmp_path
 ):
-    """Instances would wait for news from a process that is gone."""
-    async with zone(store, tmp_path) as found:
-        killed = reader(found)
+    """Instances would wait for updates from a process that has exited."""
+    async with zone(store, tmp_path) as instances:
+        killed = reader(instances)
         await killed.kill()
         store.put("op", "config", wiredata.configuration(9, tenants=[]))
-        others = [each for each in found if each is not killed]
-        assert await refused(others) < APPLY_S
+        others = [each for each in instances if each is not killed]
+        assert await wait_refused(others) < APPLY_S
 
 
 async def test_a_leaving_endpoint_gets_nothing_though_the_reader_is_frozen(
@@ -151,61 +153,66 @@
 ):
     """Instances would send work to an endpoint that is about to exit."""
     async with (
-        harness.endpoints(store, harness.well, harness.well) as (leaving, _),
-        zone(store, tmp_path, scripts=()) as found,
+        harness.endpoints(store, harness.answer_ok, harness.answer_ok) as (
+            leaving,
+            _,
+        ),
+        zone(store, tmp_path, scripts=()) as instances,
     ):
-        frozen = reader(found)
-        others = [each for each in found if each is not frozen]
-        assert await answered(others, leaving) > 0
+        frozen = reader(instances)
+        others = [each for each in instances if each is not frozen]
+        assert await count_served(others, leaving) > 0
         frozen.process.send_signal(signal.SIGSTOP)
         beat = wiredata.beat(leaving.address, state="draining")
         store.put("servers", "i-0", beat)
         await asyncio.sleep(APPLY_S)
-        assert await answered(others, leaving) == 0
+        assert await count_served(others, leaving) == 0
 
 
 async def test_a_revoked_key_is_refused_though_history_goes_with_the_reader(
     store, tmp_path
 ):
-    """Instances that turn to the store would miss what it has forgotten."""
-    async with zone(store, tmp_path) as found:
-        killed = reader(found)
+    """Instances that turn to the store would miss compacted changes."""
+    async with zone(store, tmp_path) as instances:
+        killed = reader(instances)
         await killed.kill()
         store.put("op", "config", wiredata.configuration(9, tenants=[]))
         store.compact()
-        others = [each for each in found if each is not killed]
-        assert await refused(others) < APPLY_S
+        others = [each for each in instances if each is not killed]
+        assert await wait_refused(others) < APPLY_S
 
 
 async def test_a_revoked_key_is_refused_though_two_readers_freeze(
     store, tmp_path
 ):
-    """The instance that reads after a frozen one may freeze as well."""
-    async with zone(store, tmp_path) as found:
-        first = reader(found)
+    """The instance that takes over from a frozen reader freezes too."""
+    async with zone(store, tmp_path) as instances:
+        first = reader(instances)
         first.process.send_signal(signal.SIGSTOP)
-        others = [each for each in found if each is not first]
-        control = await read_by_another(others, first)
+        others = [each for each in instances if each is not first]
+        control = await wait_new_reader(others, first)
         second = next(each for each in others if each.control == control)
         second.process.send_signal(signal.SIGSTOP)
         store.put("op", "config", wiredata.configuration(9, tenants=[]))
-        left = [each for each in others if each is not second]
-        assert await refused(left) < APPLY_S
+        remaining = [each for each in others if each is not second]
+        assert await wait_refused(remaining) < APPLY_S
 
 
 async def test_a_revoked_key_is_refused_though_the_reader_is_cut_off(
     store, tmp_path
 ):
-    """A reader whose calls at the store hang has no news for its zone."""
+    """A reader whose calls to the store hang has no updates for its zone."""
     async with (
-        proxied_ways(store) as ways,
-        zone(store, tmp_path, ways=[way.address for way in ways]) as found,
+        proxied_links(store) as links,
+        zone(
+            store, tmp_path, store_addresses=[link.address for link in links]
+        ) as instances,
     ):
-        cut = reader(found)
-        ways[found.index(cut)].freeze = True
+        cut = reader(instances)
+        links[instances.index(cut)].freeze = True
         store.put("op", "config", wiredata.configuration(9, tenants=[]))
-        others = [each for each in found if each is not cut]
-        assert await refused(others) < APPLY_S
+        others = [each for each in instances if each is not cut]
+        assert await wait_refused(others) < APPLY_S
 
 
 async def test_a_leaving_endpoint_gets_nothing_though_the_reader_is_cut_off(
@@ -213,20 +220,23 @@
 ):
     """Instances would send work to an endpoint that is about to exit."""
     async with (
-        harness.endpoints(store, harness.well, harness.well) as (leaving, _),
-        proxied_ways(store) as ways,
+        harness.endpoints(store, harness.answer_ok, harness.answer_ok) as (
+            leaving,
+            _,
+        ),
+        proxied_links(store) as links,
         zone(
             store,
             tmp_path,
-            ways=[way.address for way in ways],
+            store_addresses=[link.address for link in links],
             scripts=(),
-        ) as found,
+        ) as instances,
     ):
-        cut = reader(found)
-        others = [each for each in found if each is not cut]
-        assert await answered(others, leaving) > 0
-        ways[found.index(cut)].freeze = True
+        cut = reader(instances)
+        others = [each for each in instances if each is not cut]
+        assert await count_served(others, leaving) > 0
+        links[instances.index(cut)].freeze = True
         beat = wiredata.beat(leaving.address, state="draining")
         store.put("servers", "i-0", beat)
         await asyncio.sleep(APPLY_S)
-        assert await answered(others, leaving) == 0
+        assert await count_served(others, leaving) == 0
--- a/tests/integration/test_gateway_resume.py
+++ b/tests/integration/test_gateway_resume.py
@@ -1,4 +1,4 @@
-"""A stream that breaks goes on elsewhere, also while other things go wrong."""
+"""A broken stream resumes at another engine, also under further faults."""
 
 import asyncio
 import json
@@ -9,21 +9,21 @@
 from standins import scripted
 from tests.integration import harness
 
-# Long after the first event, so that its results were freed.
+# Long after the first event, so that the stage results have been freed.
 CRASH_S = 0.7
 WORK_S = 0.05
-# Longer than any call is waited for.
+# Longer than the timeout of any call.
 SILENCE_S = 10.0
 
 
 class PieceMaker:
-    """An endpoint that makes pieces; something happens at some calls.
+    """An endpoint that runs a stage on pieces, with faults at some calls.
 
     Parameters
     ----------
     disturb : callable
-        Takes the number of the call, from 1; returns the seconds until
-        it is answered.
+        Called with the number of the call, from 1; returns the seconds
+        until it is answered.
     """
 
     def __init__(self, disturb):
@@ -44,7 +44,7 @@
 
 
 def crash_once():
-    """Return a script of engines: the first one to be asked crashes."""
+    """Return a script of engines of which the first one called crashes."""
     sent = []
 
     def script(_seen):
@@ -61,12 +61,12 @@
 
 
 async def call(store, folder, disturb, **changes):
-    """Send a stream with a stage whose engine crashes.
+    """Request a stream with a stage, whose first engine crashes.
 
     Parameters
     ----------
     disturb : callable
-        See `PieceMaker`; takes the daemon before the number.
+        See `PieceMaker`; called with the daemon and the number.
     **changes
         See `harness.call_with_stage`.
 
@@ -88,7 +88,7 @@
 
 
 def pause(daemon, seconds):
-    """Stop a daemon for some seconds."""
+    """Suspend a daemon for some seconds."""
     daemon.process.send_signal(signal.SIGSTOP)
     loop = asyncio.get_running_loop()
     loop.call_later(seconds, daemon.process.send_signal, signal.SIGCONT)
@@ -100,11 +100,12 @@
 ):
     """An engine crashes in a stream, and the instance is paused twice.
 
-    Both times it has just asked for the results that the other engine
-    needs, and the answer lies there when it goes on.  It served its
-    timers first: the call counted as lost, and after the second the
-    stream was cut, with a part of its time left.  The log had "retry" with
-    "first: error" as long after "staged" as the pause, then "broken".
+    Both times it has just requested the stage results that the other
+    engine needs, and the answer has arrived when the process continues.
+    If timers run before the answer is read, the call counts as lost, and
+    after the second one the stream is cut although time remains: the log
+    has "retry" with "first: error" as long after "staged" as the pause,
+    then "broken".
     """
 
     def disturb(daemon, number):
@@ -117,14 +118,13 @@
 
 
 async def test_a_lost_call_does_not_cut_a_stream(store, tmp_path):
-    """The results that the other engine needs are made slowly.
-
-    The endpoint that makes them does not answer the first call, which is
-    given up after two seconds and sent once more.  The caller would wait
-    for six seconds more, but its stream was cut: results for a stream that
-    goes on had to be there after 1.8 s, whatever its deadline.  "staged"
-    had until_s 1.8, and "broken" told the engine's crash and not why
-    another one did not go on.
+    """The stage results that the other engine needs are late.
+
+    Their endpoint does not answer the first call, which is abandoned after
+    two seconds and retried.  The caller's deadline is six seconds later.
+    The stream is cut if the results of a resumed stream are due after
+    1.8 s whatever its deadline: "staged" then has until_s 1.8, and
+    "broken" reports the engine's crash but not why no other one resumed.
     """
 
     def disturb(_daemon, number):
--- a/tests/integration/test_gateway_settings.py
+++ b/tests/integration/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""A settings file that changes under a forwarding daemon."""
+"""Reload of the settings file of a running forwarding daemon."""
 
 import asyncio
 import signal
@@ -9,7 +9,7 @@
 
 
 async def _until_event(gateway, name):
-    """Wait for a line of the journal; return it."""
+    """Wait for a log event with a name; return the last one."""
     async with asyncio.timeout(10):
         while not gateway.events(name):
             await asyncio.sleep(0.05)
@@ -17,10 +17,10 @@
 
 
 async def test_a_signal_takes_over_what_may_change(tmp_path):
-    """The operator allows more retries, and moves the public address.
+    """SIGHUP applies a new retry limit but not a new public address.
 
-    Not told that the address needs a restart, the operator would wait for
-    callers on it; and a file that is not valid must change nothing.
+    The log must report that the address needs a restart, or the operator
+    waits for callers on it; and an invalid file must change nothing.
     """
     store = platformstore.PlatformStore()
     await store.start()
--- a/tests/integration/test_gateway_store.py
+++ b/tests/integration/test_gateway_store.py
@@ -1,4 +1,4 @@
-"""What the forwarding daemon believes, with its store in trouble."""
+"""Cached state of the forwarding daemon while its store is faulty."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 
 async def test_nothing_is_served_before_a_configuration_is_known(tmp_path):
-    """A process starts while neither store nor peers can be reached.
+    """A process starts while neither store nor peers are reachable.
 
     It must not answer 404 for routes that exist.
     """
@@ -37,10 +37,10 @@
 
 
 async def test_an_instance_registers_once_it_knows_what_to_do(tmp_path):
-    """An instance has started and does not know the services yet.
+    """An instance registers only after it has read a configuration.
 
-    Registered already, it would be asked to take requests of its zone
-    through their stages, and refuse them.
+    Registered earlier, it would receive the staged requests of its zone
+    without a list of services, and reject them.
     """
     table = "sycamoreshed-instances"
     store = platformstore.PlatformStore()
@@ -63,50 +63,52 @@
 
 
 async def test_a_revoked_key_reaches_who_the_store_turns_away(tmp_path):
-    """The store refuses one instance while the operator revokes a key.
+    """The store rejects one instance while the operator revokes a key.
 
-    Other instances know; with the key still accepted there, a former member
-    would go on for as long as the store refuses.
+    The instance must receive the change from a peer, or it accepts the
+    former member's key for as long as the store rejects its calls.
     """
     store = platformstore.PlatformStore()
-    turning = platformstore.PlatformStore()
+    rejecting = platformstore.PlatformStore()
     await store.start()
-    await turning.start()
-    # The two stand for one store, whose later rows have higher versions.
+    await rejecting.start()
+    # The two act as one store, whose later rows have higher versions.
     store.version = 100
-    for each in (store, turning):
+    for each in (store, rejecting):
         each.put("op", "config", wiredata.configuration())
     documents = [
         {"instance": "edge-1", "table": store.address},
-        {"instance": "edge-2", "table": turning.address},
+        {"instance": "edge-2", "table": rejecting.address},
     ]
     async with (
-        harness.endpoints(store, harness.well) as (endpoint,),
-        gateways.gateways(tmp_path, documents) as (near, away),
+        harness.endpoints(store, harness.answer_ok) as (endpoint,),
+        gateways.gateways(tmp_path, documents) as (connected, cut_off),
     ):
-        turning.put("servers", "i-0", wiredata.beat(endpoint.address))
-        away.document["peers"] = [near.control]
-        away.write_settings()
-        await near.wait_ready()
-        await away.wait_ready()
-        away.process.send_signal(1)
-        turning.mood = platformstore.Mood(status=429)
+        rejecting.put("servers", "i-0", wiredata.beat(endpoint.address))
+        cut_off.document["peers"] = [connected.control]
+        cut_off.write_settings()
+        await connected.wait_ready()
+        await cut_off.wait_ready()
+        cut_off.process.send_signal(1)
+        rejecting.mood = platformstore.Mood(status=429)
         store.put("op", "config", wiredata.configuration(9, tenants=[]))
         async with aiohttp.ClientSession() as session:
             async with asyncio.timeout(6):
-                while (await harness.call(session, away))[0] != 401:
+                while (await harness.call(session, cut_off))[0] != 401:
                     await asyncio.sleep(0.1)
-        assert (await away.status())["version"] == 9
+        assert (await cut_off.status())["version"] == 9
     await store.stop()
-    await turning.stop()
+    await rejecting.stop()
 
 
 async def test_an_endpoint_that_leaves_gets_nothing_new(store, tmp_path):
-    """An endpoint says that it leaves.
+    """An endpoint reports that it is draining.
 
     Within a second all requests go to the other one.
     """
-    async with harness.endpoints(store, harness.well, harness.well) as (
+    async with harness.endpoints(
+        store, harness.answer_ok, harness.answer_ok
+    ) as (
         leaving,
         staying,
     ):
@@ -122,16 +124,16 @@
 
 
 async def test_entries_of_other_writers_do_no_harm(store, tmp_path):
-    """Rows that name no endpoint lie among the endpoints' entries.
+    """Invalid rows among the endpoints' entries are ignored.
 
-    Fields are missing or of other types, or the bytes are no JSON; the
-    others are still used.
+    Fields are missing or of other types, or the bytes are not JSON; the
+    valid entries are still used.
     """
     store.put("servers", "bad-1", b"\xff\x00")
     store.put("servers", "bad-2", {"service": 7})
     store.put("servers", "bad-3", wiredata.beat("nowhere"))
     store.put("servers", "bad-4", wiredata.beat("1.2.3.4:5", state="odd"))
-    async with harness.endpoints(store, harness.well):
+    async with harness.endpoints(store, harness.answer_ok):
         async with harness.serving(store, tmp_path) as (gateway, session):
             status, _, _ = await harness.call(session, gateway)
     assert status == 200
--- a/tests/integration/test_gateway_streams.py
+++ b/tests/integration/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams and stages through the forwarding daemon."""
+"""Streams and staged requests through the forwarding daemon."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 
 def one_result():
-    """Return an endpoint whose results have a new name in each call."""
+    """Return an endpoint whose result handle differs in each call."""
     endpoint = scripted.Endpoint(
         harness.pieces_script(lambda _: {"handle": f"h{len(endpoint.seen)}"})
     )
@@ -22,7 +22,7 @@
 async def test_a_resumable_stream_goes_on_at_another_engine(store, tmp_path):
     """An engine crashes in the middle of its second event.
 
-    The caller gets each event once and the end, from two engines.
+    The caller receives each event once and the end, from two engines.
     """
     sent = []
 
@@ -39,9 +39,11 @@
     store.put("op", "config", harness.stream_route(resumable=True))
     async with harness.endpoints(store, crash_or_go_on, crash_or_go_on):
         async with harness.serving(store, tmp_path) as (gateway, session):
-            status, told, body = await harness.call(session, gateway, "POST")
+            status, answer_headers, body = await harness.call(
+                session, gateway, "POST"
+            )
     assert status == 200
-    assert told[harness.SEAL] == "proof 0"
+    assert answer_headers[harness.SEAL] == "proof 0"
     assert body == harness.event(0) + harness.event(1) + harness.event(2)
     assert sent == [None, "0"]
 
@@ -49,9 +51,9 @@
 async def test_a_broken_stream_does_not_look_whole(store, tmp_path):
     """An engine crashes after the first event of a stream.
 
-    It may not be resumed, and the caller must see that the end is
-    missing.  The log tells why: an instance that stalled for 0.7 s just
-    then had not written the line, which lay gathered with others.
+    The stream is not resumable, and the caller must see that the end is
+    missing.  The log must contain "broken" soon after, although lines are
+    buffered: an instance that stalled for 0.7 s had not written it.
     """
 
     def crash(_seen):
@@ -62,26 +64,26 @@
         yield scripted.RESET
 
     store.put("op", "config", harness.stream_route())
-    async with harness.endpoints(store, crash, crash) as found:
+    async with harness.endpoints(store, crash, crash) as endpoints:
         async with harness.serving(store, tmp_path) as (gateway, session):
             with pytest.raises(aiohttp.ClientPayloadError):
                 await harness.call(session, gateway, "POST")
             await asyncio.sleep(0.5)
             assert len(gateway.events("broken")) == 1
-    assert sum(len(each.seen) for each in found) == 1
+    assert sum(len(each.seen) for each in endpoints) == 1
 
 
 async def test_a_stream_with_stages_goes_on_at_another_engine(store, tmp_path):
     """An engine crashes late in a long stream with stages.
 
-    Their results were freed when it began, and the time in which stages
-    of a new request have to be done is over. They are made again for the
-    other engine.
+    The stage results were freed when the stream started, and the time
+    limit for the stages of a new request has passed.  The stages run again
+    for the other engine.
 
-    Where the instance had no processor for a second meanwhile, the caller's
-    answer was cut: the call for the results counted as lost although it
-    was answered ("retry", "first: error"), and they had to be there after
-    1.8 s ("staged", until_s 1.8).
+    An instance that gets no processor time for a second meanwhile must not
+    cut the answer.  It did where the answered stage call counted as lost
+    ("retry", "first: error") and the results were due after 1.8 s
+    ("staged", until_s 1.8).
     """
     sent = []
 
@@ -105,8 +107,8 @@
 async def test_stages_run_before_a_request_and_are_freed(store, tmp_path):
     """A request has two pieces of one stage and three of the next.
 
-    Each piece of the second takes both results of the first; the engine
-    gets the results of the second; all results are freed afterwards.
+    Each piece of the second stage takes both results of the first; the
+    engine receives the results of the second; all are freed afterwards.
     """
     stages = [
         {"service": "first", "after": [], "size_bytes": 8000},
@@ -128,11 +130,13 @@
             0
         )
 
-    found = {}
+    stage_endpoints = {}
     for name in ("first", "second"):
-        found[name] = scripted.Endpoint(harness.pieces_script(handle))
-        await found[name].start()
-        beat = wiredata.beat(found[name].address, service=name)
+        stage_endpoints[name] = scripted.Endpoint(
+            harness.pieces_script(handle)
+        )
+        await stage_endpoints[name].start()
+        beat = wiredata.beat(stage_endpoints[name].address, service=name)
         store.put("servers", f"i-{name}", beat)
     async with harness.endpoints(store, engine_script) as (engine,):
         async with harness.serving(store, tmp_path) as (gateway, session):
@@ -147,7 +151,7 @@
     (seen,) = engine.seen
     assert seen.headers["x-sycamoreshed-inputs"] == "1/0,1/1,1/2"
     freed = []
-    for endpoint in found.values():
+    for endpoint in stage_endpoints.values():
         for each in endpoint.seen:
             if each.target == "/v1/stage-free":
                 freed += json.loads(each.body)["handles"]
@@ -155,7 +159,7 @@
     assert sorted(freed) == ["0/0", "0/1", "1/0", "1/1", "1/2"]
     calls = [
         json.loads(each.body)["items"]
-        for each in found["second"].seen
+        for each in stage_endpoints["second"].seen
         if each.target == "/v1/stage-run"
     ]
     assert all(
@@ -168,11 +172,12 @@
 async def test_results_are_freed_while_an_engine_reads_its_prompt(
     store, tmp_path
 ):
-    """An engine takes a while until its first event.
+    """Stage results are freed before the first event of an engine.
 
-    It has fetched its inputs by then.  Held all the time, they fill the
-    room of their endpoints, and other callers are refused for want of it.
-    The engine then crashes, and another one needs the inputs once more.
+    The engine has fetched its inputs by then.  If they are stored until
+    the first event, they fill the memory of their endpoints, which then
+    reject other callers.  The engine crashes, and another one needs the
+    inputs again.
     """
     sent = []
 
--- a/tests/integration/test_leases.py
+++ b/tests/integration/test_leases.py
@@ -1,4 +1,4 @@
-"""The lease on a zone's orders, through real processes."""
+"""The lease on sending a zone's orders, with real processes."""
 
 import asyncio
 
@@ -17,9 +17,10 @@
 
 
 async def test_successor_takes_over_when_the_holder_is_killed():
-    """The machine of the holder goes away with a version half given out.
+    """The lease holder is killed while a version is partly rolled out.
 
-    Operators would wait for ever for the rest if nobody took over.
+    Without a successor the remaining engines would never be ordered to
+    load it.
     """
     specs = zone.engines(2)
     async with processes.cluster(
@@ -44,10 +45,10 @@
 
 
 async def test_drained_holder_hands_over_without_the_wait():
-    """An operator stops the holder; it releases what it holds.
+    """A lease holder that is stopped releases its lease.
 
-    Otherwise each planned stop would leave a zone without orders for the
-    whole lease and the longest order.
+    Otherwise each planned stop leaves a zone without orders for the
+    duration of the lease and of the longest order.
     """
     specs = zone.engines(1)
     async with processes.cluster(
@@ -56,21 +57,21 @@
         first = await zone.holder(cluster)
         successor = cluster.daemons[1 - first]
         await successor.stop()
-        # Its wait is longer than the test: only the release helps.
+        # Its wait is longer than the test: only a release can end it.
         successor.document["order_longest_s"] = 1000.0
         await successor.start()
-        held = (await _row(cluster))["value"]
+        before = (await _row(cluster))["value"]
         assert await cluster.daemons[first].stop() == 0
         await zone.holder(cluster, [1 - first])
         fence = (await _row(cluster))["value"]["fence"]
-    assert fence == held["fence"] + 1
+    assert fence == before["fence"] + 1
 
 
 async def test_lost_answer_of_a_lease_write_changes_nothing():
-    """The store takes the holder's renewal and its answer is lost.
+    """The store applies the holder's renewal, but its answer is lost.
 
-    Went the holder by the row's version, it would wait behind itself and
-    the zone would get no orders.
+    A holder that went by the row's version would wait for its own lease to
+    end, and the zone would get no orders.
     """
     specs = zone.engines(1)
     async with processes.cluster(specs=specs, **zone.FAST) as cluster:
@@ -80,7 +81,7 @@
             at = (await _row(cluster))["version"]
             await cluster.faults("table", lose_next=1, paths=["/transact"])
             await zone.until(
-                lambda least=at: _is_past(cluster, least),
+                lambda version=at: _is_past(cluster, version),
                 what="a renewal without an answer",
             )
             await zone.holder(cluster)
@@ -95,10 +96,10 @@
 
 
 async def test_no_orders_without_the_store_and_all_of_them_after():
-    """The platform's store goes away for longer than a lease.
+    """The platform's store is unavailable for longer than a lease.
 
-    Nobody may give orders, since nobody can know who holds the lease;
-    callers are served by what is loaded.
+    No instance may send orders, since none can verify that it holds the
+    lease; callers are served by the loaded models.
     """
     specs = [*zone.engines(2), {"kind": "plain", "name": "catalogue-1"}]
     engine_names = ["language-1", "language-2"]
@@ -120,15 +121,15 @@
         cluster.cut([], TABLE)
         await zone.until_loaded(cluster, engine_names, "v1")
         after = await _orders(cluster, specs[:2])
-    # The one order is the test's own.
+    # The test itself sent one order.
     assert during == before + 1
     assert served == 200
     assert after > during
 
 
 async def _nobody_holds(cluster):
-    found = [(await zone.status(cluster, index))["holds"] for index in (0, 1)]
-    return not any(found)
+    holds = [(await zone.status(cluster, index))["holds"] for index in (0, 1)]
+    return not any(holds)
 
 
 async def _unload(cluster, name):
@@ -140,9 +141,9 @@
 
 
 async def test_row_that_was_lost_does_not_stop_orders_for_ever():
-    """The store loses the lease's row; its number begins again at one.
+    """The store loses the lease's row, so its fencing number restarts at 1.
 
-    Engines that check would refuse every order from then on.
+    Engines that check fencing numbers would reject all orders from then on.
     """
     specs = zone.engines(1, checks_orders=True)
     async with processes.cluster(specs=specs, **zone.FAST) as cluster:
--- a/tests/integration/test_leaving.py
+++ b/tests/integration/test_leaving.py
@@ -1,4 +1,4 @@
-"""An endpoint or an instance leaves while work goes on."""
+"""Removal of an endpoint or an instance from service under load."""
 
 import asyncio
 import collections
@@ -8,7 +8,7 @@
 from testkit import processes
 from tests.integration import controls
 
-# A change of the configuration has to be in force everywhere by then.
+# All instances must apply a configuration change within this time.
 IN_FORCE_S = 11.0
 ZONES = ["north-a", "north-a", "north-b", "south-a"]
 SPECS = [
@@ -33,9 +33,9 @@
 
 @contextlib.asynccontextmanager
 async def load(cluster, pipeline, *, ended=None):
-    """Call a pipeline through all daemons; yield the statuses so far.
+    """Call a pipeline through all daemons; yield the list of statuses.
 
-    `ended` counts the calls that each caller has ended.
+    `ended` counts the completed calls of each caller.
     """
     statuses = []
     ended = collections.Counter() if ended is None else ended
@@ -58,7 +58,7 @@
 
 
 async def until_quiet(cluster, name, statuses):
-    """Wait until an endpoint gets nothing while much else is answered."""
+    """Wait until an endpoint receives no calls while others do."""
 
     async def quiet():
         before = await served(cluster, name)
@@ -76,40 +76,40 @@
 
 
 async def until_all_have(cluster, version):
-    """Wait until each daemon says that a configuration is in force."""
+    """Wait until each daemon reports that it applies a configuration."""
 
     async def in_force():
-        found = [
+        versions = [
             (await controls.get(cluster, index, "/control/status"))["version"]
             for index in range(len(cluster.daemons))
         ]
-        return min(found) >= version
+        return min(versions) >= version
 
     await controls.until(in_force, wait_s=IN_FORCE_S)
 
 
 def chosen_after(daemon, version, name):
-    """Count the calls for which a daemon chose an endpoint too late.
+    """Count the choices of an endpoint after a version was applied.
 
     Returns
     -------
     int
-        Choices of the endpoint that its log has after the line that says
-        that a version is in force.
+        Choices of the endpoint in the daemon's log after the line
+        "configuration in force" with that version or a later one.
     """
-    found = 0
+    late_choices = 0
     is_in_force = False
     for line in daemon.lines:
         if line["message"] == "configuration in force":
             is_in_force = is_in_force or line["version"] >= version
         if is_in_force and line.get("choice") == name:
-            found += 1
+            late_choices += 1
     assert is_in_force
-    return found
+    return late_choices
 
 
 async def until_called_anew(ended):
-    """Wait until each caller has ended the call that it is in now."""
+    """Wait until each caller has completed its current call."""
     before = dict(ended)
 
     async def all_ended():
@@ -137,8 +137,8 @@
 async def test_listed_leaver_gets_no_new_work_also_from_an_old_list():
     """The platform lists an endpoint as leaving while it serves.
 
-    Its calls go on to their end; new ones would be cut off by its end.
-    The other endpoint fails often, so that retries look for a second.
+    Calls in flight complete; new ones would be cut off when it exits.
+    The other endpoint fails often, so that retries need a second one.
     """
     async with processes.cluster(
         daemons=4, zones=ZONES, specs=SPECS
@@ -148,7 +148,7 @@
             await cluster.faults("catalogue-2", fail=0.3, paths=["/call"])
             await put_list(cluster, [("catalogue-1", "leaving", 7)])
             await until_quiet(cluster, "catalogue-1", statuses)
-            # A list from before must not bring it back.
+            # A list of an older generation must not make it live again.
             await put_list(cluster, [("catalogue-1", "live", 6)])
             await until_quiet(cluster, "catalogue-1", statuses)
             await cluster.faults("catalogue-2")
@@ -164,7 +164,7 @@
 async def test_resumed_streams_do_not_go_to_a_leaver():
     """An engine breaks streams, and the only other one is leaving.
 
-    A stream resumed on the leaver would break again at its end.
+    A stream resumed at the leaving engine would break when that exits.
     """
     async with processes.cluster(
         daemons=4, zones=ZONES, specs=SPECS
@@ -178,19 +178,19 @@
 
 
 async def test_withdrawn_endpoint_gets_no_new_work():
-    """A release note withdraws an endpoint with load on it.
-
-    Once an instance has the note, none of its new calls may go there, or
-    they would be cut off by the endpoint's end; and each instance has to
-    have it in time.
-
-    An earlier form of this test took 60 answers without a call for the
-    end, and was red now and then.  In six plays beside six busy processes
-    an instance without the note called the endpoint again after up to 188
-    answers (0.42 s) without a call; no instance chose it after its line
-    "configuration in force", the last choice being 6 ms before.  That line
-    came up to 0.86 s after the first one, from an instance that had
-    started before those it asks first, and was told of nothing by them.
+    """A release note withdraws an endpoint under load.
+
+    Once an instance applies the note, none of its new calls may go there,
+    or they are cut off when the endpoint exits; and each instance must
+    apply it in time.
+
+    A number of answers without a call to the endpoint does not show that
+    all instances apply the note: on a busy machine one without it called
+    the endpoint after 188 such answers (0.42 s).  Instances apply the note
+    up to 0.86 s apart, the last being one that started before the peers
+    it asks first and received no update from them.  The last choice of the
+    endpoint was 6 ms before the line "configuration in force", so the test
+    checks each log for choices after that line.
     """
     ended = collections.Counter()
     async with processes.cluster(
@@ -217,9 +217,9 @@
 
 
 async def test_drained_instance_is_counted_out_before_it_is_gone():
-    """An operator drains an instance that still has a request in flight.
+    """A draining instance with a request in flight is not counted as live.
 
-    Its share of the limits has to pass to the others meanwhile.
+    Its share of the limits must pass to the others meanwhile.
     """
     specs = [{"kind": "plain", "name": "catalogue-1", "seconds": 3.0}]
     async with processes.cluster(
@@ -227,11 +227,11 @@
     ) as cluster:
 
         async def live(total):
-            found = [
+            counts = [
                 (await controls.get(cluster, index, "/control/status"))["live"]
                 for index in range(3)
             ]
-            return all(item["total"] == total for item in found)
+            return all(item["total"] == total for item in counts)
 
         await controls.until(lambda: live(4))
         running = asyncio.create_task(
@@ -247,7 +247,7 @@
 
 
 async def test_failing_one_call_in_five_is_ejected_and_comes_back():
-    """An endpoint fails one call in five, yet answers probes well."""
+    """An endpoint fails one call in five but passes its probes."""
     async with processes.cluster(
         daemons=2, zones=ZONES[:2], specs=SPECS
     ) as cluster:
@@ -263,8 +263,8 @@
                 ]
                 return [line["endpoint"] for line in lines]
 
-            found = await controls.until(ejected)
-            assert set(found) == {"catalogue-1"}
+            names = await controls.until(ejected)
+            assert set(names) == {"catalogue-1"}
             await cluster.faults("catalogue-1")
             before = await served(cluster, "catalogue-1")
 
@@ -276,7 +276,7 @@
 
 
 async def test_slow_endpoint_is_ejected_for_all_of_its_zone():
-    """An endpoint answers well but late; nothing ever fails."""
+    """An endpoint answers slowly but without failures."""
     specs = [*SPECS, {"kind": "plain", "name": "catalogue-3"}]
     async with processes.cluster(
         daemons=2, zones=ZONES[:2], specs=specs
--- a/tests/integration/test_membership.py
+++ b/tests/integration/test_membership.py
@@ -1,4 +1,4 @@
-"""Entry instances find, lose and leave each other."""
+"""Entry instances join, fail and leave."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 async def until_live(cluster, indexes, total):
-    """Wait until all of these count that many live instances."""
+    """Wait until each of some daemons counts `total` live instances."""
     async with asyncio.timeout(WAIT_S):
         for index in indexes:
             while True:
@@ -25,9 +25,10 @@
 
 
 async def test_instances_find_each_other_and_notice_death_and_leave():
-    """One instance is killed and another is drained.
+    """One instance is killed and another is stopped.
 
-    If the rest went on to count them, shares of limits would be lost.
+    If the others still counted them, their shares of the limits would stay
+    unused.
     """
     async with processes.cluster(daemons=5, zones=ZONES) as cluster:
         await until_live(cluster, range(5), 5)
--- a/tests/integration/test_notes.py
+++ b/tests/integration/test_notes.py
@@ -1,4 +1,4 @@
-"""Release notes through real processes and the command line."""
+"""Release notes with real processes and the command line."""
 
 import asyncio
 import contextlib
@@ -17,8 +17,8 @@
 
 async def until_version(cluster, indexes, version):
     async def reached():
-        found = await controls.versions(cluster, indexes)
-        return found == [version] * len(found)
+        current = await controls.versions(cluster, indexes)
+        return current == [version] * len(current)
 
     await controls.until(reached)
 
@@ -64,10 +64,10 @@
 
 
 async def test_store_outage_during_apply_is_told_as_unknown(tmp_path):
-    """The table goes away while a note is being applied.
+    """The table becomes unavailable while a note is being applied.
 
-    An operator who heard "refused" would write another note for the same
-    thing; one who heard "accepted" might wait for it for ever.
+    After "refused" an operator would write another note for the same
+    change; after "accepted" they might wait for it indefinitely.
     """
     file = tmp_path / "note.json"
     note = controls.team_note(1, "serra")
@@ -81,7 +81,7 @@
         await cluster.faults("table")
         later = await controls.command("note", "status", *named, *asked)
         again = await controls.command("note", "apply", file, *asked)
-        # Every third answer is lost from here on, effect or not.
+        # From here on every third answer is lost, also of applied writes.
         await cluster.faults("table", lose=0.33, paths=["/transact"])
         for base in range(2, 8):
             file.write_text(json.dumps(controls.team_note(base, f"t{base}")))
@@ -100,7 +100,7 @@
 async def test_two_regions_write_on_the_same_version():
     """Operators of two regions apply notes at the same moment.
 
-    One wins everywhere; the other has to hear whose note it was.
+    One note wins everywhere; the other operator must be told whose it is.
     """
     async with processes.cluster(
         daemons=3, zones=ZONES, specs=NO_ENDPOINTS
@@ -135,9 +135,9 @@
 
 
 async def test_starting_with_the_platform_away_takes_a_peers_configuration():
-    """An instance is replaced while its zone is cut off from the platform.
+    """An instance restarts while its zone is cut off from the platform.
 
-    It has nothing of its own; a peer has the configuration in force.
+    It has no stored configuration; a peer has the current one.
     """
     async with processes.cluster(
         daemons=3, specs=NO_ENDPOINTS, proxied=True
@@ -151,23 +151,24 @@
         }
         await cluster.daemons[2].start()
         url = f"http://{cluster.daemons[2].public}/readyz"
-        # Long enough for it to guess, if it did.
+        # Long enough to see that it does not assume a configuration.
         for _ in range(30):
             async with cluster.session.get(url) as answer:
-                nothing = answer.status, await answer.json()
-            assert nothing[0] == 503
+                unready = answer.status, await answer.json()
+            assert unready[0] == 503
             await asyncio.sleep(0.1)
         cluster.cut([], ("entry-1", "entry-2", "entry-3"))
         await cluster.daemons[2].wait_ready()
-        found = await controls.versions(cluster, [2])
-    assert "no configuration" in nothing[1]["detail"]
-    assert found == [2]
+        current = await controls.versions(cluster, [2])
+    assert "no configuration" in unready[1]["detail"]
+    assert current == [2]
 
 
 async def test_starter_loads_the_snapshot_and_passes_it_on():
-    """An instance starts late, and then one that sees nothing but it.
+    """An instance starts late, and then one that can reach only the first.
 
-    The first has no single notes to pass on, so it passes on the whole.
+    The first has a snapshot but no single notes, so it must send the full
+    configuration.
     """
     async with processes.cluster(
         daemons=3, specs=NO_ENDPOINTS, proxied=True
@@ -179,8 +180,8 @@
             assert status == 200
 
         async def is_stored():
-            found = await cluster.get("objects", "/names")
-            return [name for name in found["names"] if "config/" in name]
+            listing = await cluster.get("objects", "/names")
+            return [name for name in listing["names"] if "config/" in name]
 
         assert len(await controls.until(is_stored)) == 1
         await until_version(cluster, range(3), 53)
@@ -201,7 +202,7 @@
 
 
 async def watch_readiness(cluster, index, ready):
-    """Do what the platform's balancer does: ask whether to send here."""
+    """Poll the readiness of an instance, as the load balancer does."""
     url = f"http://{cluster.daemons[index].public}/readyz"
     while True:
         ready[index] = False
@@ -212,7 +213,7 @@
 
 
 async def send_load(cluster, index, ready, answers):
-    """Call one instance while it is ready; versions must not go down."""
+    """Call an instance while it is ready; check that versions never drop."""
     highest = 0
     while True:
         if not ready[index]:
@@ -223,14 +224,14 @@
             assert body["version"] >= highest
             highest = body["version"]
         answers.append((status, body.get("outcome")))
-        # Well within the team's limit, whose refusals are not meant here.
+        # Stays well below the team's limit, which is not under test here.
         await asyncio.sleep(0.01)
 
 
 async def test_versions_never_go_down_while_all_restart_under_load():
-    """Every instance is restarted one by one, as in a release.
+    """Instances are restarted one by one, as in a release.
 
-    A caller must see nothing but clear refusals, and no older version.
+    A caller may see only rejections as not run, and never an older version.
     """
     ready = [False] * 3
     answers = []
--- a/tests/integration/test_once.py
+++ b/tests/integration/test_once.py
@@ -1,4 +1,4 @@
-"""Requests that may not be repeated, through real processes and faults."""
+"""Requests that must run at most once, with real processes and faults."""
 
 import asyncio
 import json
@@ -19,9 +19,9 @@
 
 
 async def test_killed_before_the_record():
-    """An instance dies while its record is still on the way to the store.
+    """An instance is killed before its record reaches the store.
 
-    The member hears nothing, comes again, and the vote counts once.
+    The member gets no answer and retries, and the vote counts once.
     """
     async with ballots.cluster() as cluster:
         await cluster.faults("table", delay_s=60, paths=WRITE)
@@ -38,10 +38,10 @@
 
 
 async def test_killed_after_the_record():
-    """An instance dies after its record was written, before sending.
+    """An instance is killed after its record was written, before sending.
 
-    Nobody can know that it did not send, so the member hears "unknown"
-    and never "not run", and the vote does not count.
+    No other instance can tell that it did not send, so the member is told
+    "unknown" and never "not run", and the vote does not count.
     """
     async with ballots.cluster(store_timeout_s=20) as cluster:
         ballots.hold(cluster, ["table"], True)
@@ -59,10 +59,10 @@
 
 @pytest.mark.parametrize("lookup", [True, False])
 async def test_killed_after_sending(lookup):
-    """An instance dies after the vote was counted, before its answer came.
+    """An instance is killed after the vote counted, before its answer.
 
-    Where the endpoint can be asked by key the member gets the answer
-    through another instance; else "unknown".  The vote counts once.
+    Where the endpoint supports lookup by key, the member gets the answer
+    through another instance; otherwise "unknown".  The vote counts once.
     """
     async with ballots.cluster(lookup=lookup) as cluster:
         ballots.hold(cluster, ballots.BALLOTS, True)
@@ -84,9 +84,10 @@
 
 
 async def test_killed_after_the_answer_and_before_it_was_recorded():
-    """The store fails after the vote counted; the answer goes out; a kill.
+    """An instance answers, but is killed before it recorded the answer.
 
-    What another instance tells later has to be the same, byte for byte.
+    The store fails after the vote counted.  Another instance must later
+    give the same answer, byte for byte.
     """
     async with ballots.cluster() as cluster:
         ballots.hold(cluster, ballots.BALLOTS, True)
@@ -108,11 +109,11 @@
 
 
 async def test_paused_between_record_and_sending():
-    """An instance is paused for longer than any timeout, then goes on.
+    """An instance is paused for longer than any timeout, then continues.
 
-    Meanwhile the member hears "unknown" from another instance.  The
-    paused one finds that it is late, sends nothing and tells "not run";
-    after that the vote can be cast with the same key.
+    Meanwhile another instance tells the member "unknown".  The paused one
+    finds its deadline passed, sends nothing and answers "not run"; after
+    that the vote can be cast with the same key.
     """
     async with ballots.cluster() as cluster:
         ballots.hold(cluster, ["table"], True)
@@ -123,7 +124,7 @@
         during = await ballots.cast(cluster, 1, "k", ms=1500)
         asked = await ballots.ask(cluster, 1, "k")
         none = await ballots.log(cluster, "k")
-        # At least so long; every timeout has passed by then.
+        # A lower bound; every timeout has passed by then.
         await asyncio.sleep(1.0)
         cluster.daemons[0].send_signal(signal.SIGCONT)
         paused = await first
@@ -148,13 +149,15 @@
     ],
 )
 async def test_answers_lost_after_taking_effect(names, lookup, expected):
-    """The store, the endpoint or both act and their answer is lost.
+    """The store, the endpoint or both act, but their answer is lost.
 
-    The vote counts once and the member hears the truth, then and later.
+    The vote counts once, and the member gets a true answer, then and
+    later.
     """
     async with ballots.cluster(lookup=lookup) as cluster:
         await lose_answers(cluster, names, 1.0)
-        # A store that is silent for long has the ballot refused unsent.
+        # While the store is unresponsive for long, ballots are rejected
+        # unsent.
         call = asyncio.create_task(ballots.cast_until_sent(cluster, 0, "k"))
         await ballots.until(ballots.log, cluster, "k")
         await lose_answers(cluster, ("table",), 0.0)
@@ -170,10 +173,10 @@
 
 
 async def test_record_arrives_after_its_request_was_given_up():
-    """The store takes writes only after their sender gave up on them.
+    """The store applies writes only after their sender abandoned them.
 
-    The member hears "not run".  Without a fence the late record would
-    block the key for ever; with one the next request runs.
+    The member is told "not run".  Without a fence the late record would
+    block the key permanently; with one the next request runs.
     """
     async with ballots.cluster() as cluster:
         await cluster.faults("table", late=1.0, late_s=3.0, paths=WRITE)
@@ -191,8 +194,8 @@
 async def test_call_takes_effect_after_its_caller_gave_up():
     """The endpoint counts the vote late, after its connection broke.
 
-    "Never" is what it says when asked in between; the member must not
-    hear "not run" then.
+    A lookup before that returns "never"; the member must not be told
+    "not run" then.
     """
     async with ballots.cluster() as cluster:
         for name in ballots.BALLOTS:
@@ -206,26 +209,26 @@
 
 
 async def test_same_key_through_five_instances_at_once():
-    """A member's browser sends the same vote again and again.
+    """A member's browser sends the same vote several times at once.
 
     All get the first answer, byte for byte, and the vote counts once.
     """
     async with ballots.cluster(daemons=5) as cluster:
         calls = [ballots.cast(cluster, n % 5, "k") for n in range(15)]
-        told = await asyncio.gather(*calls)
+        answers = await asyncio.gather(*calls)
         later = await ballots.cast(cluster, 3, "k")
         asked = await ballots.ask(cluster, 4, "k")
         runs = await ballots.log(cluster, "k")
-    assert {*told, later, asked} == {told[0]}
-    assert told[0].outcome == "complete"
+    assert {*answers, later, asked} == {answers[0]}
+    assert answers[0].outcome == "complete"
     assert len(runs) == 1
 
 
 async def test_stage_after_the_ballot_fails():
-    """The vote counts, then the engine that writes the thanks fails.
+    """The vote counts, then the engine of the next stage fails.
 
-    The member hears that the stage ran, with its output, and hears the
-    same again later, also when the engine works once more.
+    The answer reports that the ballot's stage ran, with its output, and
+    stays the same later, also once the engine works again.
     """
     async with ballots.cluster() as cluster:
         for name in ("language-1", "language-2"):
@@ -235,7 +238,7 @@
             await cluster.faults(name)
         again = await ballots.cast(cluster, 1, "k", pipeline="middle")
         asked = await ballots.ask(cluster, 1, "k", pipeline="middle")
-        whole = await ballots.cast(cluster, 1, "k2", pipeline="middle")
+        new_key = await ballots.cast(cluster, 1, "k2", pipeline="middle")
         other = await ballots.cast(cluster, 1, "k")
         runs = await ballots.log(cluster)
     assert first.outcome == "failed"
@@ -245,13 +248,13 @@
         "output": {"recorded": "gaucho/k", "run": 1},
     }
     assert first == again == asked
-    assert whole.outcome == "complete"
+    assert new_key.outcome == "complete"
     assert other.status == 422
     assert sorted(run["key"] for run in runs) == ["gaucho/k", "gaucho/k2"]
 
 
 async def test_stage_before_the_ballot_fails():
-    """The encoder fails before the vote; nothing is recorded or counted."""
+    """The encoder fails before the vote: nothing is recorded or counted."""
     async with ballots.cluster() as cluster:
         for name in ("encoder-1", "encoder-2"):
             await cluster.faults(name, fail=1.0, paths=CALL)
@@ -268,9 +271,9 @@
 
 
 async def test_caller_goes_away_during_the_call():
-    """A member closes the page while the vote is being counted.
+    """A member disconnects while the vote is being counted.
 
-    The instance goes on, so the answer is there when the member returns.
+    The instance completes the call, so a retry gets the answer.
     """
     async with ballots.cluster() as cluster:
         ballots.hold(cluster, ballots.BALLOTS, True)
@@ -286,19 +289,20 @@
 
 
 async def test_teams_that_choose_the_same_key_share_nothing():
-    """Two teams number their votes from one.
+    """Two teams use the same idempotency key.
 
-    A team would get the other's answer, and its own vote would be lost.
+    If keys were not separate by team, one team would get the other's
+    answer, and its own vote would be lost.
     """
     async with ballots.cluster(daemons=1) as cluster:
         for name in ballots.BALLOTS:
             await cluster.faults(name, lose=1.0, paths=CALL)
-        told = [
+        answers = [
             await ballots.cast(cluster, 0, "1", team=team)
             for team in ("gaucho", "ilha")
         ]
         runs = await ballots.log(cluster)
-    keys = [json.loads(item.raw)["output"]["recorded"] for item in told]
+    keys = [json.loads(item.raw)["output"]["recorded"] for item in answers]
     assert keys == ["gaucho/1", "ilha/1"]
     assert sorted(run["key"] for run in runs) == keys
 
@@ -306,9 +310,9 @@
 async def test_keys_that_cannot_be_used_are_refused():
     async with ballots.cluster(daemons=1) as cluster:
         for key in ("a b", "x" * 201, "\u00e9"):
-            told = await ballots.cast(cluster, 0, key)
-            assert (told.status, told.outcome) == (400, "not-run")
-        # Dated 2023: its record would have been swept long ago.
+            answer = await ballots.cast(cluster, 0, key)
+            assert (answer.status, answer.outcome) == (400, "not-run")
+        # Its time is in 2023, so that its record would have been swept.
         old = "01890a5d-ac96-774b-bcce-b302099a8057"
         expired = await ballots.cast(cluster, 0, old)
         runs = await ballots.log(cluster)
@@ -323,10 +327,10 @@
 
 
 async def test_stop_waits_for_an_answer_that_is_not_recorded_yet():
-    """An operator stops an instance while the store is away for a moment.
+    """An instance is stopped just after the store was unavailable.
 
-    The member has the answer already; were its record left open, a repeat
-    through another instance would hear "outcome unknown" for ever.
+    The member has the answer already; if its record stayed open, a retry
+    through another instance would always get "outcome unknown".
     """
     async with ballots.cluster(lookup=False) as cluster:
         ballots.hold(cluster, ballots.BALLOTS, True)
--- a/tests/integration/test_once_handover.py
+++ b/tests/integration/test_once_handover.py
@@ -1,4 +1,4 @@
-"""A key passes from one request to the next while others look at it."""
+"""A key passes from one request to the next while another reads it."""
 
 import asyncio
 import json
@@ -7,33 +7,33 @@
 
 from testkit import ballots
 
-# Time in which an instance reads one row of an idle store; if it were
-# not enough, a test here would look at a row that is not out of date.
+# Time in which an instance reads one row of an idle store.  If it were too
+# short, a test here would read a row that is not outdated.
 READ_S = 0.5
-# A request that waits for its record beyond this sends nothing any more.
+# A request whose record is not written by then sends nothing.
 DEADLINE_MS = 700
 WRITE = ["/transact"]
 
 
 async def handed_over(cluster, look, *, writes_fail=False):
-    """Let a key pass from one request to another under an onlooker.
+    """Pass a key from one request to another during a concurrent read.
 
-    Instance 0 writes its record and hears of it only after its deadline,
-    so it sends nothing and gives the key back.  Meanwhile `look` reads
-    the record through instance 1, which gets the row only after instance
-    2 has taken the key and its call has run; the answer of that call is
-    still on its way.
+    Instance 0 writes its record and gets the answer only after its
+    deadline, so it sends nothing and releases the key.  Meanwhile `look`
+    reads the record through instance 1, which receives the row only after
+    instance 2 has claimed the key and its call has run; the answer of that
+    call is still in transit.
 
     Returns
     -------
     tuple of Told
-        What the first, the onlooker and the second were told.
+        Answers to the first request, the reader and the second request.
     """
     ballots.hold_from(cluster, ["table"], [0])
     first = asyncio.create_task(ballots.cast(cluster, 0, "k", ms=DEADLINE_MS))
     await ballots.until(ballots.state_of, cluster, "k")
     ballots.hold_from(cluster, ["table"], [0, 1])
-    looking = asyncio.create_task(look(cluster))
+    reading = asyncio.create_task(look(cluster))
     await asyncio.sleep(max(READ_S, DEADLINE_MS / 1000))
     ballots.hold_from(cluster, ["table"], [1])
     first = await first
@@ -43,10 +43,10 @@
     if writes_fail:
         await cluster.faults("table", fail=1.0, paths=WRITE)
     ballots.hold_from(cluster, ["table"], [])
-    await asyncio.wait({looking}, timeout=READ_S)
+    await asyncio.wait({reading}, timeout=READ_S)
     await cluster.faults("table")
     ballots.hold_from(cluster, ballots.BALLOTS, [])
-    return first, await looking, await second
+    return first, await reading, await second
 
 
 async def ask(cluster):
@@ -59,18 +59,18 @@
 
 @pytest.mark.parametrize("look", [ask, repeat])
 async def test_an_answer_names_the_request_that_ran(look):
-    """A record changes hands while another instance looks at it.
-
-    The first request with a key gives it back unsent and its caller hears
-    "not run".  A second one takes the key and runs.  A third instance had
-    read the record of the first, asks the endpoints by key and hears
-    "ran", which is true of the second.  It must not tell its caller that
-    the first request ran: a member would hold two different answers for
-    one vote, one of them for a request that was told "not run".
-
-    The log showed it: an answer in the name of the first, written over
-    version 5, met version 7 of the second ("complete", "conflict") and was
-    told all the same.
+    """An instance with an outdated record must not answer for its request.
+
+    The first request with a key releases it unsent, and its caller is told
+    "not run".  A second one claims the key and runs.  A third instance has
+    read the record of the first, looks the key up at the endpoints and
+    gets "ran", which is true of the second.  If it answers that the first
+    request ran, a member holds two different answers for one vote, one of
+    them for a request that was answered "not run".
+
+    The write of that answer conflicts: it expects version 5 of the row,
+    which is at version 7 by the second request ("complete", "conflict" in
+    the log).  The answer must not be sent all the same.
     """
     async with ballots.cluster(daemons=3, store_timeout_s=20) as cluster:
         first, seen, second = await handed_over(cluster, look)
@@ -89,11 +89,11 @@
 
 
 async def test_an_answer_that_cannot_be_recorded_is_not_told():
-    """As above, and the store takes no writes when the onlooker is told.
+    """As above, and the store takes no writes when the reader is answered.
 
-    Only a write over the row that it read could show whose run it heard
-    of.  Told without it, the answer may name the request that was not
-    run; "outcome unknown" is true, and the member asks again.
+    Only a write over the row that it read could show which request ran.
+    Without it, the answer may name the request that did not run;
+    "outcome unknown" is true, and the member asks again.
     """
     async with ballots.cluster(daemons=3, store_timeout_s=20) as cluster:
         first, seen, second = await handed_over(cluster, ask, writes_fail=True)
--- a/tests/integration/test_once_random.py
+++ b/tests/integration/test_once_random.py
@@ -1,4 +1,4 @@
-"""Random faults under ballots, and the daemon's breaker under load."""
+"""Ballots under random faults, and the store's breaker under load."""
 
 import asyncio
 
@@ -12,10 +12,10 @@
     ("seed", "lookup"), [(1, True), (2, False)], ids=["asked", "unasked"]
 )
 async def test_no_promise_is_broken_under_random_faults(seed, lookup):
-    """Instances die and pause, answers are lost, the store comes and goes.
+    """Instances crash and pause, answers are lost, the store is unavailable.
 
-    A member would see a vote count twice, hear "not run" of one that
-    counts, or hear two different answers.
+    No vote may count twice, be answered "not run" although it counts, or
+    get two different answers.
     """
     async with ballots.cluster(daemons=3, lookup=lookup) as cluster:
         summary = await chaos.run(cluster, seed=seed, count=100)
@@ -27,18 +27,18 @@
 
 
 async def test_store_down_under_load():
-    """The store is away for a while; ballots, reads and summaries go on.
+    """Reads and summaries are served while the store is unavailable.
 
-    A ballot hears "not run" at once and with a time to come again,
-    instead of a timeout each that would hold up everything else.
+    Ballots are rejected at once as "not run" with a time to retry, instead
+    of each running into a timeout that would delay everything else.
     """
     async with ballots.cluster(store_timeout_s=2) as cluster:
         before = await ballots.cast(cluster, 0, "before")
         cluster.proxies["table"].freeze = True
-        told = await asyncio.gather(
+        answers = await asyncio.gather(
             *(ballots.cast(cluster, 0, f"a{n}") for n in range(10))
         )
-        told += await asyncio.gather(
+        answers += await asyncio.gather(
             *(ballots.cast(cluster, 0, f"b{n}") for n in range(100))
         )
         reads = await asyncio.gather(
@@ -52,7 +52,7 @@
         after = await ballots.until_complete(cluster, 0, "a0")
         again = await ballots.cast(cluster, 1, "before")
         runs = await ballots.log(cluster)
-    assert {item.outcome for item in told} == {"not-run"}
+    assert {item.outcome for item in answers} == {"not-run"}
     assert {status for status, _, _ in reads} == {200}
     assert refused >= 100
     assert failed <= 30
--- a/tests/integration/test_once_silence.py
+++ b/tests/integration/test_once_silence.py
@@ -1,4 +1,4 @@
-"""A store that falls silent for a moment, or takes writes unheard."""
+"""A store that is briefly unresponsive, or whose write answers are lost."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from tests.integration import test_once
 
 EVERYTHING = ("table", *ballots.BALLOTS)
-STILL_S = 1.0
+OUTAGE_S = 1.0
 
 
 @pytest.mark.parametrize(
@@ -22,14 +22,15 @@
     ],
 )
 async def test_ballot_cast_into_a_short_silence_runs(names, lookup, expected):
-    """A vote must not be refused for long by a store that takes writes.
+    """A vote must not be rejected for long if the store applies writes.
 
-    All are silent for a moment; then the store and the endpoints act, and
-    their answers are lost.  Reads are answered, and tell what was written.
+    The store and the endpoints are unresponsive for a moment; then they
+    act, but their answers are lost.  Reads are answered and show what was
+    written.
     """
     async with ballots.cluster(lookup=lookup) as cluster:
         await test_once.lose_answers(cluster, names, 1.0)
-        async with ballots.stand_ins_stopped(cluster, STILL_S):
+        async with ballots.stand_ins_stopped(cluster, OUTAGE_S):
             call = asyncio.create_task(ballots.cast(cluster, 0, "k"))
         await ballots.until(ballots.log, cluster, "k")
         first = await call
@@ -39,18 +40,19 @@
 
 
 async def test_store_whose_answers_are_all_lost_is_found_again():
-    """A breaker must close again for a store that takes writes unheard.
+    """A breaker must close for a store that applies writes.
 
-    After a long silence, all its answers to writes are lost; ballots of
-    that time would be refused until somebody mended the way back.
+    After the store was unresponsive for long, all its answers to writes
+    are lost; with the breaker open, ballots would be rejected until
+    somebody repaired the return path.
     """
     async with ballots.cluster(lookup=False) as cluster:
         cluster.proxies["table"].freeze = True
         await ballots.open_breakers(cluster)
         await test_once.lose_answers(cluster, ("table",), 1.0)
         cluster.proxies["table"].freeze = False
-        told = await ballots.until_complete(cluster, 0, "k")
+        first = await ballots.until_complete(cluster, 0, "k")
         again = await ballots.until_complete(cluster, 1, "k")
         runs = await ballots.log(cluster, "k")
-    assert told == again
+    assert first == again
     assert len(runs) == 1
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, through real processes."""
+"""Orders that tell engines which model to load, with real processes."""
 
 import asyncio
 import signal
@@ -43,17 +43,17 @@
 
 
 async def until(check, *, what, limit=LIMIT_S, seen=None):
-    """Poll until the check holds; the limit is generous.
+    """Poll until a check returns true.
 
     Parameters
     ----------
     check : coroutine function
     what : str
-        What is waited for.
+        Expected condition, for the message of a failure.
     limit : float
-        Seconds.
+        Seconds after which the test fails; generous by default.
     seen : object, optional
-        What the check saw last, for the message of a failure.
+        Last state that the check read, for the message of a failure.
     """
     try:
         async with asyncio.timeout(limit):
@@ -74,8 +74,8 @@
 
 async def until_loaded(cluster, engine_names, version, replicas=None):
     async def check():
-        found = await versions(cluster, engine_names)
-        return found.count(version) == (replicas or len(engine_names))
+        loaded = await versions(cluster, engine_names)
+        return loaded.count(version) == (replicas or len(engine_names))
 
     await until(check, what=f"{version} on {engine_names}")
 
@@ -88,22 +88,22 @@
 
 
 async def holder(cluster, among=None):
-    """Wait until one daemon holds the lease; return which."""
-    found = []
+    """Wait until a daemon holds the lease; return its index."""
+    holders = []
     seen = {}
 
     async def check():
         for index in among or range(len(cluster.daemons)):
-            # Stays where a daemon does not answer.
+            # Remains if a daemon does not answer.
             seen[index] = "asked"
             seen[index] = await status(cluster, index)
             if seen[index]["holds"]:
-                found.append(index)
+                holders.append(index)
                 return True
         return False
 
     await until(check, what="a holder", seen=seen)
-    return found[0]
+    return holders[0]
 
 
 async def counts(cluster, engine_names, what):
@@ -126,11 +126,11 @@
 
 @pytest.mark.parametrize("checks", [True, False])
 async def test_paused_holder_does_not_undo_what_operators_decided(checks):
-    """The holder is paused with an order under way, and woken later.
+    """The lease holder is paused with an order in flight, then continues.
 
     Its order reaches the engine after its successor's.  An engine that
-    ignores fencing numbers goes back to the old version, and members
-    would be answered by a model that operators had replaced.
+    ignores fencing numbers loads the old version, and members would be
+    answered by a model that operators had replaced.
     """
     specs = engines(2, checks_orders=checks)
     late = {"late": 1.0, "late_s": 8.0, "paths": ["/orders"]}
@@ -145,12 +145,12 @@
             for name in names(specs):
                 await cluster.faults(name, **late)
             stale, new = f"v{version}", f"v{version + 1}"
-            before = await _given(cluster, first, "refused")
+            before = await _count_orders(cluster, first, "refused")
             await place(cluster, version, "changed", placement(stale, 2))
-            # The order of the version that nobody wants any more leaves.
+            # The order for the version that is about to be replaced is sent.
             await until(
-                lambda index=first, least=before: _gave_more(
-                    cluster, index, "refused", least
+                lambda index=first, previous=before: _has_more_orders(
+                    cluster, index, "refused", previous
                 ),
                 what="an order whose answer was lost",
             )
@@ -169,20 +169,22 @@
             await until_loaded(cluster, names(specs), new)
             cluster.daemons[first].send_signal(signal.SIGCONT)
             await until(
-                lambda least=version // 2 - 1: _stale(cluster, specs, least),
+                lambda min_count=version // 2 - 1: _has_stale(
+                    cluster, specs, min_count
+                ),
                 what="the late order at an engine",
             )
             await until_loaded(cluster, names(specs), new)
         stale = await counts(cluster, names(specs), "stale_orders")
         refused = await counts(cluster, names(specs), "refused_orders")
-        await _stays(cluster, names(specs), new)
+        await _check_stays_loaded(cluster, names(specs), new)
     print(f"checks={checks}: stale {stale}, refused {refused}")
     assert sum(stale) >= rounds
     assert refused == (stale if checks else [0, 0])
 
 
-async def _given(cluster, index, outcome):
-    """Return how many orders of a daemon had an outcome."""
+async def _count_orders(cluster, index, outcome):
+    """Return the number of a daemon's orders that had an outcome."""
     address = cluster.daemons[index].public
     name = f'sycamoreshed_engine_orders_total{{outcome="{outcome}"}} '
     url = f"http://{address}/metrics"
@@ -193,25 +195,25 @@
     return 0.0
 
 
-async def _gave_more(cluster, index, outcome, least):
-    return await _given(cluster, index, outcome) > least
+async def _has_more_orders(cluster, index, outcome, previous):
+    return await _count_orders(cluster, index, outcome) > previous
 
 
-async def _stale(cluster, specs, least):
-    found = await counts(cluster, names(specs), "stale_orders")
-    return sum(found) >= least
+async def _has_stale(cluster, specs, min_count):
+    stale = await counts(cluster, names(specs), "stale_orders")
+    return sum(stale) >= min_count
 
 
-async def _stays(cluster, engine_names, version):
-    """Look again after more than the longest time between read-backs."""
+async def _check_stays_loaded(cluster, engine_names, version):
+    """Check versions after more than the longest read-back interval."""
     await asyncio.sleep(2 * FAST["order_look_s"])
     await until_loaded(cluster, engine_names, version)
 
 
 async def test_version_changes_under_load_with_the_floor_serving():
-    """Operators change a model's version while callers use it.
+    """A model's version changes under load with its floor of engines serving.
 
-    Were all engines to load at once, every answer would be late.
+    If all engines loaded at once, every answer would be late.
     """
     specs = engines(4, load_s=0.3, weights="weights", weight_bytes=1e5)
     others = [
@@ -223,16 +225,16 @@
         await until_loaded(cluster, names(specs), "v1")
         stop = asyncio.Event()
         callers = [asyncio.create_task(_call(cluster, stop)) for _ in range(4)]
-        begin = await _last_change(cluster, specs)
+        started_at = await _last_change(cluster, specs)
         await place(cluster, 2, "changed", placement("v2", 4, floor=3))
         await until_loaded(cluster, names(specs), "v2")
         stop.set()
         answers = sum(await asyncio.gather(*callers), [])
-        least = await _least_serving(cluster, specs, begin)
+        min_serving = await _min_serving(cluster, specs, started_at)
         weights = await cluster.get("weights", "/counts")
-    print(f"answers {len(answers)}, least serving {least}, {weights}")
+    print(f"answers {len(answers)}, least serving {min_serving}, {weights}")
     assert set(answers) == {200}
-    assert least == 3
+    assert min_serving == 3
     assert weights["loads"] == 8
 
 
@@ -256,22 +258,22 @@
     return (await _changes(cluster, specs))[-1][0]
 
 
-async def _least_serving(cluster, specs, begin):
-    """Return the fewest engines that served at any time after `begin`."""
+async def _min_serving(cluster, specs, started_at):
+    """Return the smallest number of engines serving after `started_at`."""
     serving = {}
-    least = len(specs)
+    result = len(specs)
     for at, name, is_serving in await _changes(cluster, specs):
         serving[name] = is_serving
-        if at > begin:
-            least = min(least, sum(serving.values()))
-    return least
+        if at > started_at:
+            result = min(result, sum(serving.values()))
+    return result
 
 
 async def test_loads_keep_to_the_weight_stores_rate():
-    """Twenty engines need a model from a store with a rate.
+    """Eight engines load a model from a weight store with a limited rate.
 
-    All at once would leave each load waiting for all the others, past
-    what engines put up with.
+    If all loaded at once, each load would wait for all the others, beyond
+    the time limit of the engines.
     """
     size = 1e5
     specs = engines(8, weights="weights", weight_bytes=size)
@@ -292,10 +294,10 @@
     ids=["answers lost", "errors", "late effect"],
 )
 async def test_orders_are_repeated_until_they_hold(fault):
-    """An engine loses every second answer, or fails, or is late.
+    """Engines lose every second answer, fail or act late.
 
-    An order given once and taken for granted would leave the old version
-    on some engine for ever.
+    If orders were sent once without a check of their effect, some engine
+    would keep the old version indefinitely.
     """
     specs = engines(3)
     async with processes.cluster(specs=specs, **FAST) as cluster:
@@ -306,8 +308,8 @@
             lambda: _all_have(cluster, specs, "v1"), what="v1 everywhere"
         )
         await place(cluster, 2, "changed", placement("v2", 3))
-        # One engine at a time, and with bad luck each is asked ten times
-        # with pauses that grow to ten seconds.
+        # Engines change one at a time, and each may need ten attempts with
+        # delays that grow to ten seconds.
         await until(
             lambda: _all_have(cluster, specs, "v2"),
             what="v2 everywhere",
@@ -316,17 +318,18 @@
 
 
 async def _all_have(cluster, specs, version):
-    found = []
+    states = []
     for name in names(specs):
         body = await cluster.get(name, "/history")
-        found.append(body["history"][-1][1:])
-    return found == [[True, version]] * len(specs)
+        states.append(body["history"][-1][1:])
+    return states == [[True, version]] * len(specs)
 
 
 async def test_silent_engine_holds_up_nobody_else():
-    """One engine's machine is frozen when operators place a model.
+    """An unresponsive engine does not delay orders to the others.
 
-    A reconciler that takes engines in turn would wait for it each time.
+    A reconciler that handled engines in sequence would wait for it each
+    time.
     """
     specs = engines(4)
     async with processes.cluster(specs=specs, proxied=True, **FAST) as cluster:
--- a/tests/integration/test_overload.py
+++ b/tests/integration/test_overload.py
@@ -1,11 +1,11 @@
-"""More work than the engines can do, through real processes."""
+"""Load beyond the capacity of the engines, with real processes."""
 
 import asyncio
 
 from testkit import builders
 from testkit import processes
 
-# Two engines that serve four summaries at a time, 0.2 s each.
+# Two engines that together serve four summaries at a time, 0.2 s each.
 SPECS = [
     *(
         {"kind": builders.SERVICES[name]["kind"], "name": f"{name}-1"}
@@ -25,7 +25,7 @@
 
 
 def summaries(cluster, count, team, **headers):
-    """Begin summaries through the daemons in turn."""
+    """Start summaries through the daemons in turn; return their tasks."""
     return [
         asyncio.create_task(
             cluster.call(
@@ -41,10 +41,10 @@
 
 
 async def test_flood_of_one_team_does_not_crowd_out_another():
-    """One team sends many at once, which takes all slots for a while.
+    """One team sends many requests at once, which fill all slots.
 
-    Served in order of arrival, another team's few requests would wait
-    for all of it.
+    In order of arrival, another team's few requests would wait for all of
+    them.
     """
     async with processes.cluster(daemons=2, specs=SPECS) as cluster:
         long = {"Deadline_Ms": "120000"}
@@ -62,10 +62,10 @@
 
 
 async def test_full_attainment_returns_after_an_overload():
-    """Ten times what can be done in time arrives, and then stops.
+    """Ten times the requests that can be served in time arrive at once.
 
-    What is refused must truly not have run, and the refusals must end
-    with the overload, not feed on what was measured during it.
+    Rejected requests must not have run, and rejections must end with the
+    overload: measurements taken during it must not prolong them.
     """
     async with processes.cluster(daemons=2, specs=SPECS) as cluster:
         hasty = {"Deadline_Ms": "1500"}
@@ -75,16 +75,16 @@
             *summaries(cluster, 300, "gaucho", **hasty)
         )
         after = await served(cluster)
-        told = [body["outcome"] for _, _, body in flood]
+        outcomes = [body["outcome"] for _, _, body in flood]
         refused = [
             answer for answer in flood if answer[2]["outcome"] == "shed"
         ]
-        assert told.count("complete") > 0
+        assert outcomes.count("complete") > 0
         assert refused
         assert all("Retry-After" in headers for _, headers, _ in refused)
-        # A stream may be tried on a second engine, so each can count
-        # twice; what was refused counts not at all.
-        assert after - before <= 2 * (len(told) - len(refused))
+        # A stream may be retried on a second engine, so that each request
+        # counts up to twice; rejected requests do not count.
+        assert after - before <= 2 * (len(outcomes) - len(refused))
         async with asyncio.timeout(60):
             while not await all_complete(cluster, hasty):
                 await asyncio.sleep(0.1)
@@ -92,7 +92,7 @@
 
 
 async def all_complete(cluster, headers):
-    """Send ten one after another; tell whether all were answered."""
+    """Send ten requests in sequence; return whether all succeeded."""
     for number in range(10):
         status, _, _ = await cluster.call(
             number % 2, "summary", {"input": number}, **headers
@@ -103,7 +103,7 @@
 
 
 async def served(cluster):
-    """Return how many streams engines began."""
+    """Return the number of streams that the engines served."""
     counts = [
         await cluster.get(name, "/counts")
         for name in ("language-1", "language-2")
@@ -112,9 +112,10 @@
 
 
 async def test_limit_of_a_team_holds_for_the_whole_system():
-    """A team sends through all instances; its limit is one figure.
+    """A team's limit applies to its requests at all instances together.
 
-    Counted by each instance for itself it could send three times it.
+    If each instance applied it alone, the team could send three times as
+    much.
     """
     async with processes.cluster(daemons=3, specs=SPECS) as cluster:
         limit = {"ilha": {"rate": 6.0, "burst": 6.0}}
@@ -123,20 +124,20 @@
         assert status == 200
         for daemon in cluster.daemons:
             await daemon.wait_ready()
-        await settled(cluster)
+        await wait_applied(cluster)
         answers = await asyncio.gather(
             *summaries(cluster, 90, "ilha", Deadline_Ms="60000")
         )
     over = [answer for answer in answers if answer[0] == 429]
     assert all(body["outcome"] == "not-run" for _, _, body in over)
     assert all("Retry-After" in headers for _, headers, _ in over)
-    # Each of three lets in its least burst, and what becomes due while
+    # Each of three admits its minimum burst, and what the rate allows while
     # ninety requests are sent.
     assert 6 <= 90 - len(over) <= 40
 
 
-async def settled(cluster):
-    """Wait until all instances run version 2 and know each other."""
+async def wait_applied(cluster):
+    """Wait until all instances apply configuration version 2."""
     async with asyncio.timeout(60):
         while True:
             states = [await status_of(cluster, d) for d in cluster.daemons]
--- a/tests/integration/test_path.py
+++ b/tests/integration/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, through real processes."""
+"""Requests through all stages, with real processes."""
 
 import asyncio
 import re
@@ -20,14 +20,14 @@
 
 
 async def test_bytes_to_other_regions_are_counted_by_stage():
-    """Traffic between regions is paid by volume."""
+    """Traffic between regions is billed by volume."""
     specs = processes.endpoint_specs(1)
     for spec in specs:
         if spec["name"] in ("encoder-1", "language-1"):
             spec["zone"] = "south-a"
-    said = "x" * 5000
+    text_input = "x" * 5000
     async with processes.cluster(specs=specs) as cluster:
-        status, _, _ = await cluster.call(0, "summary", {"input": said})
+        status, _, _ = await cluster.call(0, "summary", {"input": text_input})
         url = f"http://{cluster.daemons[0].public}/metrics"
         async with cluster.session.get(url) as answer:
             text = await answer.text()
@@ -36,7 +36,8 @@
     moved = {name: float(size) for name, size in re.findall(pattern, text)}
     assert status == 200
     assert set(moved) == {"encode", "generate"}
-    # The input there and, wrapped, back; one prompt and 16 lines.
+    # The encoder receives the input and returns it wrapped; the engine
+    # receives one prompt and returns 16 lines.
     assert 10000 < moved["encode"] < 12000
     assert 5000 + 16 * 100 < moved["generate"] < 12000
     routed = [line for line in lines if line.get("decision") == "route"]
@@ -51,7 +52,7 @@
         assert line["candidates"] and line["choice"] and line["why"]
 
 
-# Each a share of calls; by stand-in.
+# Faults by endpoint: shares of calls, and delays in seconds.
 MIXED_UP = {
     "encoder-1": {"swap": 0.3, "other_attempt": 0.1, "jitter_s": 0.02},
     "reranker-2": {"swap": 0.2, "lose": 0.1, "jitter_s": 0.02},
@@ -63,18 +64,18 @@
 
 
 async def test_each_caller_gets_its_own_answer():
-    """Endpoints delay, repeat, reorder and mix up their answers.
+    """Endpoints delay, repeat, reorder and swap their answers.
 
-    Without a check a member would read a stranger's summary, or one with
+    Unchecked, a member would receive another caller's summary, or one with
     words missing.
     """
-    number_of = 200
+    request_count = 200
     async with processes.cluster(daemons=3) as cluster:
         for name, spec in MIXED_UP.items():
             await cluster.faults(name, **spec)
         calls = [
             cluster.call(number % 3, pipeline, {"input": number})
-            for number in range(number_of)
+            for number in range(request_count)
             for pipeline in ("catalogue", "summary")
         ]
         answers = await asyncio.gather(*calls)
@@ -89,10 +90,10 @@
         if pipeline == "catalogue":
             assert body["output"]["of"] == index // 2
         else:
-            mine = body["request"][:6]
-            words = [f"{mine}-{offset} " for offset in range(16)]
+            prefix = body["request"][:6]
+            words = [f"{prefix}-{offset} " for offset in range(16)]
             assert body["output"] == "".join(words)
-    assert min(complete.values()) > number_of // 2
+    assert min(complete.values()) > request_count // 2
 
 
 async def test_ballot_runs_once_and_repeats_its_answer():
@@ -119,9 +120,9 @@
 
 
 async def test_stop_under_load_cuts_nothing_off():
-    """An operator stops an instance while it answers.
+    """An instance is stopped while requests are in flight.
 
-    A caller whose request is in flight would see its connection close.
+    If it did not complete them, their connections would close.
     """
     async with processes.cluster() as cluster:
         calls = [
@@ -137,7 +138,7 @@
 
 
 async def test_stop_serves_what_arrived_during_a_pause():
-    """Requests that arrive before SIGTERM are not refused as "draining"."""
+    """Requests that arrive before SIGTERM are not rejected as "draining"."""
     async with processes.cluster() as cluster:
         daemon = cluster.daemons[0]
         daemon.send_signal(signal.SIGSTOP)
@@ -155,7 +156,7 @@
 
 
 async def test_cut_off_instance_still_serves_reads():
-    """A daemon loses the platform; reads need only endpoints."""
+    """A daemon is cut off from the platform; reads need only endpoints."""
     platform = ("table", "objects", "instances")
     async with processes.cluster(daemons=2, proxied=True) as cluster:
         cluster.cut([1], platform)
@@ -164,8 +165,8 @@
             1, "ballot", {"input": 1}, Idempotency_Key="k"
         )
         cluster.cut([], platform)
-        # The store is tried again only now and then, so a caller comes
-        # again when it was told to.
+        # The daemon retries the store only at intervals, so the caller
+        # retries after the time it was given.
         async with asyncio.timeout(30):
             again = 503
             while again == 503:
--- a/tests/integration/test_path_demo.py
+++ b/tests/integration/test_path_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration of README, and the other examples."""
+"""The demonstration in the README and the other examples."""
 
 import asyncio
 import sys
@@ -7,7 +7,7 @@
 
 
 async def output_of(name):
-    """Run an example; return what it prints."""
+    """Run an example; return its output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/tests/integration/test_path_input.py
+++ b/tests/integration/test_path_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear answer and costs no endpoint any work."""
+"""Invalid input gets a specific error and reaches no endpoint."""
 
 import json
 
@@ -7,8 +7,8 @@
 GOOD = b'{"input": 1}'
 TEAM = {"Team": "gaucho"}
 
-# method, path, headers, body, status, kind; None where the HTTP library
-# refuses the head itself.
+# Method, path, headers, body, status, kind; the kind is None where the HTTP
+# library itself rejects the head.
 CASES = [
     ("POST", "summary", TEAM, b"{", 400, "bad-request"),
     ("POST", "summary", TEAM, b'{"input": 1, "x": 1}', 400, "bad-request"),
@@ -49,7 +49,7 @@
 
 
 async def served(cluster):
-    """Return how many calls all stand-ins served."""
+    """Return the number of calls that all endpoints served."""
     counts = [
         await cluster.get(name, "/counts")
         for name in cluster.addresses
@@ -59,19 +59,19 @@
 
 
 async def test_bad_input():
-    """Callers send what cannot be served, by mistake or to do harm."""
+    """Callers send invalid requests, by mistake or with intent."""
     async with processes.cluster(max_body_bytes=8192) as cluster:
         for method, path, headers, body, status, kind in CASES:
-            got = await send(cluster, method, path, headers, body)
-            assert got[0] == status, (path, got)
+            received = await send(cluster, method, path, headers, body)
+            assert received[0] == status, (path, received)
             if kind is None:
                 continue
-            details = json.loads(got[2])
+            details = json.loads(received[2])
             assert details["type"] == f"urn:sycamoreshed:error:{kind}"
             assert details["status"] == status
             assert details["outcome"] == "not-run"
-            assert got[1]["Outcome"] == "not-run"
-            assert got[1]["Content-Type"] == "application/problem+json"
+            assert received[1]["Outcome"] == "not-run"
+            assert received[1]["Content-Type"] == "application/problem+json"
         assert await served(cluster) == 0
         good = await send(cluster, "POST", "catalogue", TEAM, GOOD)
         assert good[0] == 200
--- a/tests/integration/test_streams.py
+++ b/tests/integration/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams that break, repeat, leave out, or outlive their caller."""
+"""Streams that break, repeat or omit events, or lose their caller."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 
 
 def specs(*engines):
-    """Return pools and the engines given, each with changes."""
+    """Return specs of three pools and of engines with changes."""
     result = [
         {"kind": "pool", "name": f"{name}-1"}
         for name in ("encoder", "retriever", "reranker")
@@ -30,7 +30,7 @@
 
 
 async def metric(cluster, name, index=0):
-    """Return the sum of all series whose line begins with `name`."""
+    """Return the sum of all series whose line starts with `name`."""
     url = f"http://{cluster.daemons[index].public}/metrics"
     async with cluster.session.get(url) as answer:
         text = await answer.text()
@@ -39,23 +39,23 @@
 
 
 @contextlib.asynccontextmanager
-async def streaming(cluster, *, said="dossier", **headers):
+async def streaming(cluster, *, text="dossier", **headers):
     """Open a streamed summary."""
     url = f"http://{cluster.daemons[0].public}/v1/pipelines/summary"
-    body = {"input": said, "stream": True}
+    body = {"input": text, "stream": True}
     headers = {"Team": "gaucho", **headers}
     async with cluster.session.post(url, json=body, headers=headers) as answer:
         yield answer
 
 
 def events_of(text):
-    """Return (event, id, data) of each event of a whole stream."""
+    """Return (event, id, data) of each event of a complete stream."""
     pattern = r"event: (\w+)\n(?:id: (\d+)\n)?data: (.*)\n\n"
     return re.findall(pattern, text)
 
 
 async def until(condition):
-    """Wait until a coroutine function returns something true."""
+    """Poll a coroutine function until its result is true."""
     async with asyncio.timeout(20):
         while not await condition():
             await asyncio.sleep(0.02)
@@ -74,21 +74,21 @@
     ],
 )
 async def test_faulty_stream_becomes_whole(fault, stray):
-    """An engine spoils each of its streams in the middle.
+    """An engine corrupts each of its streams in the middle.
 
-    A reader of the summary would miss words, see words twice, or take a
-    half summary for a whole one.
+    Unrepaired, the summary would lack words, repeat words, or look
+    complete when it is not.
     """
     async with processes.cluster(specs=specs({}, {})) as cluster:
         await cluster.faults("language-1", **{fault: 1.0})
         texts = []
         counts = {}
         while counts.get("faulted", 0) < 2 and len(texts) < 60:
-            async with streaming(cluster, said=str(len(texts))) as answer:
+            async with streaming(cluster, text=str(len(texts))) as answer:
                 texts.append(await answer.text())
             counts = await cluster.get("language-1", "/counts")
-        # Calls that are merely slow may move on a busy machine; those are
-        # counted apart.
+        # On a busy machine slow calls may be retried as well; those are
+        # counted under another reason.
         retries = await metric(
             cluster,
             'sycamoreshed_retries_total{stage="generate",why="broken-stream"}',
@@ -117,7 +117,7 @@
 async def test_stream_that_cannot_be_mended_ends_with_an_error():
     """All engines cut their streams off at the same token.
 
-    A reader must not take the half summary it has for a whole one.
+    The partial summary must not look complete.
     """
     async with processes.cluster(specs=specs({}, {})) as cluster:
         for name in ("language-1", "language-2"):
@@ -129,9 +129,10 @@
 
 
 async def test_caller_that_goes_away_stops_the_engine():
-    """A member closes the page while a summary is being written.
+    """A member disconnects while a summary is being streamed.
 
-    The engine would go on for nobody, in a slot that others wait for.
+    Otherwise the engine would continue unread, in a slot that others wait
+    for.
     """
     async with processes.cluster(specs=specs(LONG)) as cluster:
         async with streaming(cluster) as answer:
@@ -152,7 +153,7 @@
 
 
 async def test_caller_of_a_whole_answer_that_goes_away_stops_its_calls():
-    """A caller gives up waiting for an encoder that hangs."""
+    """A caller disconnects while an encoder hangs."""
     async with processes.cluster(specs=specs({})) as cluster:
         await cluster.faults("encoder-1", delay_s=60.0, paths=["/call"])
         call = asyncio.create_task(cluster.call(0, "summary", {"input": 1}))
@@ -174,9 +175,9 @@
 
 @pytest.mark.parametrize("name", ["language-1", "encoder-1"])
 async def test_deadline_cancels_calls_in_flight(name):
-    """The deadline passes during a stage; the answer says late.
+    """The deadline passes during a stage; the outcome is "late".
 
-    The endpoint would otherwise work on for nobody.
+    The call must be cancelled, or the endpoint continues unread work.
     """
     stage = {"name": "only", "service": name.partition("-")[0]}
     alone = {"alone": {"stages": [stage], "deadline_ms": 5000}}
@@ -190,7 +191,7 @@
             return counts.get("cancelled", 0) > 0 and idle
 
         async def late():
-            # Longer each time, so that on a busy machine too one of the
+            # Doubled each time, so that even on a busy machine one of the
             # calls is sent before its deadline.
             deadline = str(400 * 2 ** len(answers))
             answers.append(
@@ -219,8 +220,8 @@
 async def test_answers_of_attempts_given_up_are_dropped():
     """A pool answers a second attempt with the answer to the first.
 
-    What was given up may hold the outcome of another state of the
-    service, so it is not this attempt's answer.
+    The answer to an abandoned attempt may reflect another state of the
+    service, so it is not valid for this attempt.
     """
     pools = specs({})
     async with processes.cluster(specs=pools) as cluster:
@@ -239,7 +240,7 @@
 
 
 async def test_connection_lost_by_the_caller_is_not_a_fault_of_ours():
-    """Callers vanish without closing in order, at any moment."""
+    """Callers abort their connections in the middle of streams."""
     async with processes.cluster(specs=specs(LONG)) as cluster:
         for _ in range(CALLERS):
             session = aiohttp.ClientSession()
--- a/tests/integration/test_zones.py
+++ b/tests/integration/test_zones.py
@@ -1,4 +1,4 @@
-"""A zone loses the other zones and the platform, and comes back."""
+"""Network partitions between zones, and from the platform."""
 
 import asyncio
 import signal
@@ -21,11 +21,11 @@
 
 
 async def live(cluster, indexes):
-    found = [
+    counts = [
         (await controls.get(cluster, index, "/control/status"))["live"]
         for index in indexes
     ]
-    return [item["total"] for item in found]
+    return [item["total"] for item in counts]
 
 
 async def until_live(cluster, indexes, total):
@@ -37,16 +37,16 @@
 
 async def until_version(cluster, indexes, version):
     async def reached():
-        found = await controls.versions(cluster, indexes)
-        return found == [version] * len(found)
+        current = await controls.versions(cluster, indexes)
+        return current == [version] * len(current)
 
     await controls.until(reached)
 
 
 def cut(cluster, *, platform):
-    """Cut the south off, from the platform too if asked."""
-    away = NORTH_NAMES + (PLATFORM if platform else ())
-    cluster.cut(SOUTH, away)
+    """Cut the south off from the north, optionally from the platform."""
+    unreachable = NORTH_NAMES + (PLATFORM if platform else ())
+    cluster.cut(SOUTH, unreachable)
     cluster.cut(NORTH, SOUTH_NAMES)
 
 
@@ -55,10 +55,10 @@
 
 
 async def serves(cluster, index):
-    """Return whether an instance answers with what it can reach.
+    """Return whether an instance serves a call from reachable endpoints.
 
-    While an endpoint out of reach is not yet ejected a call may wait for
-    it until the deadline; the caller is then told so.
+    Until an unreachable endpoint is ejected, a call may wait for it until
+    the deadline; the outcome then says so.
     """
     status, _, body = await cluster.call(
         index, "catalogue", {"input": 1}, Deadline_Ms="1000"
@@ -68,11 +68,11 @@
 
 
 async def test_zone_cut_off_serves_on_and_converges_by_itself():
-    """A zone loses all other zones and the platform for a while.
+    """A zone is cut off from all other zones and the platform for a while.
 
-    Its callers go on with the configuration in force there; a note that
-    is accepted elsewhere meanwhile comes into force once it is back, and
-    no instance goes back to what was before.
+    It serves its callers with its current configuration; a note accepted
+    elsewhere meanwhile is applied once it is connected again, and no
+    instance returns to an earlier version.
     """
     async with processes.cluster(
         daemons=5, zones=ZONES, specs=SPECS, proxied=True
@@ -90,8 +90,8 @@
             for _ in range(10):
                 assert await serves(cluster, index)
         assert await controls.versions(cluster, SOUTH) == [1, 1]
-        # The zone cannot know whether the other one ran a key; its caller
-        # can.
+        # The zone cannot tell whether the other one ran a key, but its
+        # caller can.
         for repeat, outcome in (
             ({}, "outcome-unknown"),
             ({"Idempotency_Repeat": "true"}, "outcome-unknown"),
@@ -119,7 +119,7 @@
 
 
 async def test_regions_that_lose_each_other_keep_up_by_the_table():
-    """Two regions lose each other; both still reach the platform."""
+    """Two regions are cut off from each other but not from the platform."""
     async with processes.cluster(
         daemons=5, zones=ZONES, specs=SPECS, proxied=True
     ) as cluster:
@@ -143,9 +143,10 @@
 
 
 async def test_paused_instance_wakes_into_the_present():
-    """An instance stops for a while, as in a pause of its machine.
+    """An instance is suspended for a while, as in a pause of its machine.
 
-    On waking it must neither be held for dead nor hold the old version.
+    Afterwards the others must count it as live again, and it must apply
+    the current version.
     """
     async with processes.cluster(
         daemons=3, zones=ZONES[:3], specs=[]
--- a/tests/test_api_page.py
+++ b/tests/test_api_page.py
@@ -1,4 +1,4 @@
-"""The callers' page says what the program does."""
+"""The page for callers agrees with the program."""
 
 import pathlib
 import re
@@ -15,7 +15,7 @@
 
 
 def row_of(kind):
-    """Return the line of the table for a kind."""
+    """Return the table row of a kind of answer."""
     answer = kinds.ANSWERS[kind]
     sent = kinds.answer_for(kinds.Failure(kind, "", sent=True)).outcome
     retry = "" if answer.retry_after is None else f"{answer.retry_after:g}"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -32,9 +32,10 @@
 
 
 def test_each_fault_that_is_found_can_be_listed():
-    """A run finds more faults than can be mended in time.
+    """The list of known failures has no maximum length.
 
-    With a limit on the list, the next one could only be hidden.
+    A run may find more faults than can be fixed in time; with a limit, the
+    next one could only be hidden.
     """
     text = "".join(f"t{n} | seen | 1\n" for n in range(12))
     assert len(conftest.read_known_red(text)) == 12
