--- a/tests/integration/test_binary.py
+++ b/tests/integration/test_binary.py
@@ -68,7 +68,10 @@
 
 
 async def test_daemon_from_modules():
-    """The platform forbids io_uring, shared memory and child processes."""
+    """A daemon uses no io_uring, shared memory or child processes.
+
+    The platform forbids them.
+    """
     async with processes.cluster(grace_s=0.5) as cluster:
         answers, samples = await call_and_sample(cluster)
         code = await cluster.daemons[0].stop()
@@ -76,7 +79,7 @@
 
 
 async def test_daemon_from_one_file(binary, tmp_path):
-    """The single file unpacks itself in its own process, under its root."""
+    """The single file unpacks without a child process, under `SHIV_ROOT`."""
     root = tmp_path / "unpacked"
     async with processes.cluster(
         grace_s=0.5,
--- a/tests/integration/test_gateway_readers.py
+++ b/tests/integration/test_gateway_readers.py
@@ -125,7 +125,11 @@
 async def test_a_revoked_key_is_refused_though_the_reader_is_frozen(
     store, tmp_path
 ):
-    """A frozen reader would withhold the update from its whole zone."""
+    """The zone's reader is suspended when the operator revokes a key.
+
+    The others must apply the change in time without it, or the whole zone
+    accepts the key.
+    """
     async with zone(store, tmp_path) as instances:
         frozen = reader(instances)
         frozen.process.send_signal(signal.SIGSTOP)
@@ -139,7 +143,10 @@
 async def test_a_revoked_key_is_refused_though_the_reader_is_killed(
     store, tmp_path
 ):
-    """Instances would wait for updates from a process that has exited."""
+    """The zone's reader is killed before the operator revokes a key.
+
+    The others must not wait for updates from a process that has exited.
+    """
     async with zone(store, tmp_path) as instances:
         killed = reader(instances)
         await killed.kill()
@@ -151,7 +158,10 @@
 async def test_a_leaving_endpoint_gets_nothing_though_the_reader_is_frozen(
     store, tmp_path
 ):
-    """Instances would send work to an endpoint that is about to exit."""
+    """An endpoint starts to drain while the zone's reader is suspended.
+
+    The others must not send work to an endpoint that is about to exit.
+    """
     async with (
         harness.endpoints(store, harness.answer_ok, harness.answer_ok) as (
             leaving,
@@ -172,7 +182,10 @@
 async def test_a_revoked_key_is_refused_though_history_goes_with_the_reader(
     store, tmp_path
 ):
-    """Instances that turn to the store would miss compacted changes."""
+    """The reader is killed, and the store compacts the change of a key.
+
+    Instances that then read the store must not miss the compacted change.
+    """
     async with zone(store, tmp_path) as instances:
         killed = reader(instances)
         await killed.kill()
@@ -185,7 +198,10 @@
 async def test_a_revoked_key_is_refused_though_two_readers_freeze(
     store, tmp_path
 ):
-    """The instance that takes over from a frozen reader freezes too."""
+    """Two readers are suspended, one after the other, before a key is revoked.
+
+    The second is the instance that took over from the first.
+    """
     async with zone(store, tmp_path) as instances:
         first = reader(instances)
         first.process.send_signal(signal.SIGSTOP)
@@ -201,7 +217,10 @@
 async def test_a_revoked_key_is_refused_though_the_reader_is_cut_off(
     store, tmp_path
 ):
-    """A reader whose calls to the store hang has no updates for its zone."""
+    """The reader's calls to the store hang when the operator revokes a key.
+
+    Such a reader still runs but has no updates for its zone.
+    """
     async with (
         proxied_links(store) as links,
         zone(
@@ -218,7 +237,10 @@
 async def test_a_leaving_endpoint_gets_nothing_though_the_reader_is_cut_off(
     store, tmp_path
 ):
-    """Instances would send work to an endpoint that is about to exit."""
+    """An endpoint starts to drain while the reader's calls to the store hang.
+
+    The others must not send work to an endpoint that is about to exit.
+    """
     async with (
         harness.endpoints(store, harness.answer_ok, harness.answer_ok) as (
             leaving,
--- a/tests/integration/test_gateway_resume.py
+++ b/tests/integration/test_gateway_resume.py
@@ -144,7 +144,11 @@
 
 
 async def test_a_long_pause_does_not_cut_a_stream(store, tmp_path):
-    """As above, with an instance that is paused for 1.9 s of its 3 s."""
+    """The instance is paused for 1.9 s of the request's 3 s.
+
+    The pause starts when it requests the stage results for the other
+    engine.
+    """
 
     def disturb(daemon, number):
         if number == 2:
--- a/tests/integration/test_gateway_streams.py
+++ b/tests/integration/test_gateway_streams.py
@@ -53,7 +53,7 @@
 
     The stream is not resumable, and the caller must see that the end is
     missing.  The log must contain "broken" soon after, although lines are
-    buffered: an instance that stalled for 0.7 s had not written it.
+    buffered: an instance that stalls for 0.7 s may not have written it.
     """
 
     def crash(_seen):
@@ -81,9 +81,9 @@
     for the other engine.
 
     An instance that gets no processor time for a second meanwhile must not
-    cut the answer.  It did where the answered stage call counted as lost
-    ("retry", "first: error") and the results were due after 1.8 s
-    ("staged", until_s 1.8).
+    end the stream early.  That happens if the answered stage call counts
+    as lost (log: "retry", "first: error") and the results are due after
+    1.8 s (log: "staged", until_s 1.8).
     """
     sent = []
 
--- a/tests/integration/test_leases.py
+++ b/tests/integration/test_leases.py
@@ -70,8 +70,8 @@
 async def test_lost_answer_of_a_lease_write_changes_nothing():
     """The store applies the holder's renewal, but its answer is lost.
 
-    A holder that went by the row's version would wait for its own lease to
-    end, and the zone would get no orders.
+    A holder that recognizes its lease only by the row's version would wait
+    for that lease to end, and the zone would get no orders.
     """
     specs = zone.engines(1)
     async with processes.cluster(specs=specs, **zone.FAST) as cluster:
@@ -99,7 +99,8 @@
     """The platform's store is unavailable for longer than a lease.
 
     No instance may send orders, since none can verify that it holds the
-    lease; callers are served by the loaded models.
+    lease; callers are served by the loaded models.  Once the store is
+    available again, orders that became due meanwhile must be sent.
     """
     specs = [*zone.engines(2), {"kind": "plain", "name": "catalogue-1"}]
     engine_names = ["language-1", "language-2"]
@@ -141,9 +142,11 @@
 
 
 async def test_row_that_was_lost_does_not_stop_orders_for_ever():
-    """The store loses the lease's row, so its fencing number restarts at 1.
+    """An engine has seen a higher fencing number than the lease's row has.
 
-    Engines that check fencing numbers would reject all orders from then on.
+    This happens when the store loses the row, so that the number restarts
+    at 1.  Engines that check fencing numbers would reject all orders from
+    then on.
     """
     specs = zone.engines(1, checks_orders=True)
     async with processes.cluster(specs=specs, **zone.FAST) as cluster:
--- a/tests/integration/test_leaving.py
+++ b/tests/integration/test_leaving.py
@@ -185,12 +185,13 @@
     apply it in time.
 
     A number of answers without a call to the endpoint does not show that
-    all instances apply the note: on a busy machine one without it called
-    the endpoint after 188 such answers (0.42 s).  Instances apply the note
-    up to 0.86 s apart, the last being one that started before the peers
-    it asks first and received no update from them.  The last choice of the
-    endpoint was 6 ms before the line "configuration in force", so the test
-    checks each log for choices after that line.
+    all instances apply the note: on a busy machine, an instance that does
+    not apply it yet can call the endpoint after 188 such answers (0.42 s).
+    Instances can apply the note 0.86 s apart; the last is one that started
+    before the peers it asks first and received no update from them.  The
+    last choice of the endpoint can come 6 ms before the log line
+    "configuration in force", so the test checks each log for choices after
+    that line.
     """
     ended = collections.Counter()
     async with processes.cluster(
--- a/tests/integration/test_membership.py
+++ b/tests/integration/test_membership.py
@@ -1,4 +1,4 @@
-"""Entry instances join, fail and leave."""
+"""Instances join, fail and leave."""
 
 import asyncio
 
--- a/tests/integration/test_notes.py
+++ b/tests/integration/test_notes.py
@@ -81,7 +81,7 @@
         await cluster.faults("table")
         later = await controls.command("note", "status", *named, *asked)
         again = await controls.command("note", "apply", file, *asked)
-        # From here on every third answer is lost, also of applied writes.
+        # From here on a third of the answers is lost, also of applied writes.
         await cluster.faults("table", lose=0.33, paths=["/transact"])
         for base in range(2, 8):
             file.write_text(json.dumps(controls.team_note(base, f"t{base}")))
@@ -100,7 +100,7 @@
 async def test_two_regions_write_on_the_same_version():
     """Operators of two regions apply notes at the same moment.
 
-    One note wins everywhere; the other operator must be told whose it is.
+    One note wins everywhere; the other operator must be told its author.
     """
     async with processes.cluster(
         daemons=3, zones=ZONES, specs=NO_ENDPOINTS
@@ -135,9 +135,10 @@
 
 
 async def test_starting_with_the_platform_away_takes_a_peers_configuration():
-    """An instance restarts while its zone is cut off from the platform.
+    """An instance restarts while it is cut off from platform and peers.
 
-    It has no stored configuration; a peer has the current one.
+    It has no stored configuration and must not become ready without one.
+    Once it can reach a peer, it takes the current one from there.
     """
     async with processes.cluster(
         daemons=3, specs=NO_ENDPOINTS, proxied=True
@@ -231,7 +232,8 @@
 async def test_versions_never_go_down_while_all_restart_under_load():
     """Instances are restarted one by one, as in a release.
 
-    A caller may see only rejections as not run, and never an older version.
+    The only failures a caller may see are rejections of requests that did
+    not run.  No caller may be served by an older version than before.
     """
     ready = [False] * 3
     answers = []
--- a/tests/integration/test_once.py
+++ b/tests/integration/test_once.py
@@ -175,8 +175,9 @@
 async def test_record_arrives_after_its_request_was_given_up():
     """The store applies writes only after their sender abandoned them.
 
-    The member is told "not run".  Without a fence the late record would
-    block the key permanently; with one the next request runs.
+    The member is told "not run".  A fence, a write that changes the row's
+    version, keeps the late record from taking effect.  Without it that
+    record would block the key permanently; with it the next request runs.
     """
     async with ballots.cluster() as cluster:
         await cluster.faults("table", late=1.0, late_s=3.0, paths=WRITE)
--- a/tests/integration/test_once_doubt.py
+++ b/tests/integration/test_once_doubt.py
@@ -41,7 +41,7 @@
 async def test_key_that_ran_is_not_denied_by_a_silent_store(lookup, repeat):
     """A retry of a completed vote must not be answered "not run".
 
-    Only the store is unresponsive; other ballots open the breakers.
+    Only the store is unresponsive; other ballots open the circuit breakers.
     """
     async with ballots.cluster(lookup=lookup) as cluster:
         first = await ballots.cast(cluster, 0, "k")
--- a/tests/integration/test_once_handover.py
+++ b/tests/integration/test_once_handover.py
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("look", [ask, repeat])
 async def test_an_answer_names_the_request_that_ran(look):
-    """An instance with an outdated record must not answer for its request.
+    """An outdated record must not be completed with another request's result.
 
     The first request with a key releases it unsent, and its caller is told
     "not run".  A second one claims the key and runs.  A third instance has
@@ -89,9 +89,10 @@
 
 
 async def test_an_answer_that_cannot_be_recorded_is_not_told():
-    """As above, and the store takes no writes when the reader is answered.
+    """The store takes no writes when a reader has an outdated record.
 
-    Only a write over the row that it read could show which request ran.
+    The key has passed to a second request, as in the test above.  Only a
+    write over the row that the reader read could show which request ran.
     Without it, the answer may name the request that did not run;
     "outcome unknown" is true, and the member asks again.
     """
--- a/tests/integration/test_once_silence.py
+++ b/tests/integration/test_once_silence.py
@@ -25,8 +25,8 @@
     """A vote must not be rejected for long if the store applies writes.
 
     The store and the endpoints are unresponsive for a moment; then they
-    act, but their answers are lost.  Reads are answered and show what was
-    written.
+    act, but the answers of one or both to writes and calls are lost.  Reads
+    are answered and show what was written.
     """
     async with ballots.cluster(lookup=lookup) as cluster:
         await test_once.lose_answers(cluster, names, 1.0)
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -211,7 +211,9 @@
 
 
 async def test_version_changes_under_load_with_the_floor_serving():
-    """A model's version changes under load with its floor of engines serving.
+    """A model's version changes under load while three of four engines serve.
+
+    Three is the placement's floor, below which the number must not fall.
 
     If all engines loaded at once, every answer would be late.
     """
@@ -294,7 +296,7 @@
     ids=["answers lost", "errors", "late effect"],
 )
 async def test_orders_are_repeated_until_they_hold(fault):
-    """Engines lose every second answer, fail or act late.
+    """Half of the calls to engines lose their answer, fail or act late.
 
     If orders were sent once without a check of their effect, some engine
     would keep the old version indefinitely.
--- a/tests/integration/test_streams.py
+++ b/tests/integration/test_streams.py
@@ -153,7 +153,10 @@
 
 
 async def test_caller_of_a_whole_answer_that_goes_away_stops_its_calls():
-    """A caller disconnects while an encoder hangs."""
+    """A caller disconnects while an encoder hangs.
+
+    The call to the encoder must be cancelled.
+    """
     async with processes.cluster(specs=specs({})) as cluster:
         await cluster.faults("encoder-1", delay_s=60.0, paths=["/call"])
         call = asyncio.create_task(cluster.call(0, "summary", {"input": 1}))
--- a/tests/integration/test_zones.py
+++ b/tests/integration/test_zones.py
@@ -58,7 +58,7 @@
     """Return whether an instance serves a call from reachable endpoints.
 
     Until an unreachable endpoint is ejected, a call may wait for it until
-    the deadline; the outcome then says so.
+    the deadline; the outcome is then "late", "failed" or "not-run".
     """
     status, _, body = await cluster.call(
         index, "catalogue", {"input": 1}, Deadline_Ms="1000"
@@ -90,8 +90,8 @@
             for _ in range(10):
                 assert await serves(cluster, index)
         assert await controls.versions(cluster, SOUTH) == [1, 1]
-        # The zone cannot tell whether the other one ran a key, but its
-        # caller can.
+        # The zone cannot tell whether a key ran elsewhere; "not-run" needs
+        # the caller's statement that the key is new.
         for repeat, outcome in (
             ({}, "outcome-unknown"),
             ({"Idempotency_Repeat": "true"}, "outcome-unknown"),
@@ -119,7 +119,10 @@
 
 
 async def test_regions_that_lose_each_other_keep_up_by_the_table():
-    """Two regions are cut off from each other but not from the platform."""
+    """Two regions are cut off from each other but not from the platform.
+
+    A note accepted in either must reach both through the platform's table.
+    """
     async with processes.cluster(
         daemons=5, zones=ZONES, specs=SPECS, proxied=True
     ) as cluster:
