--- a/tests/integration/test_gateway_store.py
+++ b/tests/integration/test_gateway_store.py
@@ -12,7 +12,7 @@
 
 
 async def test_nothing_is_served_before_a_configuration_is_known(tmp_path):
-    """A process starts while neither store nor peers are reachable.
+    """A process without peers starts while the store answers 503.
 
     It must not answer 404 for routes that exist.
     """
@@ -104,7 +104,7 @@
 async def test_an_endpoint_that_leaves_gets_nothing_new(store, tmp_path):
     """An endpoint reports that it is draining.
 
-    Within a second all requests go to the other one.
+    Half a second later all requests go to the other one.
     """
     async with harness.endpoints(
         store, harness.answer_ok, harness.answer_ok
@@ -126,8 +126,8 @@
 async def test_entries_of_other_writers_do_no_harm(store, tmp_path):
     """Invalid rows among the endpoints' entries are ignored.
 
-    Fields are missing or of other types, or the bytes are not JSON; the
-    valid entries are still used.
+    Fields are missing, of other types or have invalid values, or the bytes
+    are not JSON; the valid entries are still used.
     """
     store.put("servers", "bad-1", b"\xff\x00")
     store.put("servers", "bad-2", {"service": 7})
--- a/tests/integration/test_leaving.py
+++ b/tests/integration/test_leaving.py
@@ -248,7 +248,10 @@
 
 
 async def test_failing_one_call_in_five_is_ejected_and_comes_back():
-    """An endpoint fails one call in five but passes its probes."""
+    """An endpoint fails one call in five but passes its probes.
+
+    It must be ejected, and receive calls again once it works.
+    """
     async with processes.cluster(
         daemons=2, zones=ZONES[:2], specs=SPECS
     ) as cluster:
@@ -277,7 +280,7 @@
 
 
 async def test_slow_endpoint_is_ejected_for_all_of_its_zone():
-    """An endpoint answers slowly but without failures."""
+    """An endpoint that answers slowly but without failures is ejected."""
     specs = [*SPECS, {"kind": "plain", "name": "catalogue-3"}]
     async with processes.cluster(
         daemons=2, zones=ZONES[:2], specs=specs
--- a/tests/integration/test_notes.py
+++ b/tests/integration/test_notes.py
@@ -269,7 +269,10 @@
 
 
 async def test_a_request_keeps_its_version_and_a_withdrawn_one_is_refused():
-    """A pipeline is withdrawn while a request of it runs."""
+    """A pipeline is withdrawn while a request of it runs.
+
+    That request completes with its version; later ones are rejected.
+    """
     specs = [
         {"kind": "plain", "name": "catalogue-1", "seconds": 1.0},
         {"kind": "pool", "name": "encoder-1"},
--- a/tests/integration/test_once_doubt.py
+++ b/tests/integration/test_once_doubt.py
@@ -99,7 +99,8 @@
 async def test_refusals_for_load_deny_no_key_that_ran():
     """A retry of a vote that counted must not be rejected as "not run".
 
-    Deadlines, limits and stops reject a request before its record is read.
+    Deadlines, limits and stops reject a request before its record is read;
+    the test uses deadlines.
     """
     async with ballots.cluster(lookup=False) as cluster:
         await ballots.cast(cluster, 0, "k")
--- a/tests/integration/test_path.py
+++ b/tests/integration/test_path.py
@@ -20,7 +20,10 @@
 
 
 async def test_bytes_to_other_regions_are_counted_by_stage():
-    """Traffic between regions is billed by volume."""
+    """Bytes to other regions are counted by stage.
+
+    Traffic between regions is billed by volume.
+    """
     specs = processes.endpoint_specs(1)
     for spec in specs:
         if spec["name"] in ("encoder-1", "language-1"):
