--- a/tests/integration/test_leaving.py
+++ b/tests/integration/test_leaving.py
@@ -185,12 +185,13 @@
     apply it in time.
 
     A number of answers without a call to the endpoint does not show that
-    all instances apply the note: on a busy machine one without it called
-    the endpoint after 188 such answers (0.42 s).  Instances apply the note
-    up to 0.86 s apart, the last being one that started before the peers
-    it asks first and received no update from them.  The last choice of the
-    endpoint was 6 ms before the line "configuration in force", so the test
-    checks each log for choices after that line.
+    all instances apply the note: on a busy machine, an instance that does
+    not apply it yet can call the endpoint after 188 such answers (0.42 s).
+    Instances can apply the note 0.86 s apart; the last is one that started
+    before the peers it asks first and received no update from them.  The
+    last choice of the endpoint can come 6 ms before the log line
+    "configuration in force", so the test checks each log for choices after
+    that line.
     """
     ended = collections.Counter()
     async with processes.cluster(
@@ -247,7 +248,10 @@
 
 
 async def test_failing_one_call_in_five_is_ejected_and_comes_back():
-    """An endpoint fails one call in five but passes its probes."""
+    """An endpoint fails one call in five but passes its probes.
+
+    It must be ejected, and receive calls again once it works.
+    """
     async with processes.cluster(
         daemons=2, zones=ZONES[:2], specs=SPECS
     ) as cluster:
@@ -276,7 +280,7 @@
 
 
 async def test_slow_endpoint_is_ejected_for_all_of_its_zone():
-    """An endpoint answers slowly but without failures."""
+    """An endpoint that answers slowly but without failures is ejected."""
     specs = [*SPECS, {"kind": "plain", "name": "catalogue-3"}]
     async with processes.cluster(
         daemons=2, zones=ZONES[:2], specs=specs
--- a/tests/integration/test_once_doubt.py
+++ b/tests/integration/test_once_doubt.py
@@ -41,7 +41,7 @@
 async def test_key_that_ran_is_not_denied_by_a_silent_store(lookup, repeat):
     """A retry of a completed vote must not be answered "not run".
 
-    Only the store is unresponsive; other ballots open the breakers.
+    Only the store is unresponsive; other ballots open the circuit breakers.
     """
     async with ballots.cluster(lookup=lookup) as cluster:
         first = await ballots.cast(cluster, 0, "k")
@@ -99,7 +99,8 @@
 async def test_refusals_for_load_deny_no_key_that_ran():
     """A retry of a vote that counted must not be rejected as "not run".
 
-    Deadlines, limits and stops reject a request before its record is read.
+    Deadlines, limits and stops reject a request before its record is read;
+    the test uses deadlines.
     """
     async with ballots.cluster(lookup=False) as cluster:
         await ballots.cast(cluster, 0, "k")
