--- a/standins/engine.py
+++ b/standins/engine.py
@@ -27,7 +27,7 @@
     slots : int
         Maximum concurrent streams; others queue by priority.
     token_s : float
-        Seconds between tokens.
+        Seconds for each token.
     prefill_s : float
         Seconds before the first token when the prefix is not cached.
     tokens : int
@@ -84,7 +84,7 @@
             self._release_slot()
 
     async def cancel(self, http):
-        """Stop an attempt."""
+        """Cancel an attempt; its stream checks this before each token."""
         body = await http.json()
         self._cancelled.add(body["attempt"])
         self.counters["cancelled"] += 1
@@ -121,19 +121,19 @@
         return web.json_response({"events": events[:1000]})
 
     async def kv_export(self, http):
-        """Export a cached prefix."""
+        """Simulate an export; report whether the prefix is cached."""
         body = await http.json()
         is_cached = body["prefix"] in self._cache
         return web.json_response({"prefix": body["prefix"], "held": is_cached})
 
     async def kv_import(self, http):
-        """Import a cached prefix."""
+        """Simulate an import; add the prefix to the cache."""
         body = await http.json()
         self._cache_prefix(body["prefix"])
         return web.json_response({"imported": True})
 
     async def counts(self, _http):
-        """Report counters, for tests and the bench."""
+        """Report counters, for tests and benchmarks."""
         return web.json_response(
             {
                 **self.counters,
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -21,22 +21,22 @@
     without effect.  ``lose``: share of calls whose connection is closed
     after taking effect.  ``lose_next``: number of next calls whose answer
     is lost.  ``late``: share of calls whose connection is closed at once,
-    and that take effect ``late_s`` later.  ``serial_s``: calls are served
-    one after another, each for this long.  ``swap``: share of answers
-    that carry the identity of another call.  ``other_attempt``: share of
-    answers that name another attempt of the same call.  ``down``: close
-    every connection at once.  ``paths``: path prefixes that the faults
-    are limited to.  ``delay_from``: seconds added by source address.
-    ``slow``: factor on processing time.  ``stale``: share of reads
-    answered with the value before the last write.
+    and that take effect ``late_s`` later.  ``serial_s``: calls wait in
+    turn, each for this long, before they are handled.  ``swap``: share of
+    calls that get the answer to the previous call.  ``other_attempt``:
+    share of answers that name another attempt of the same call.
+    ``down``: close every connection at once.  ``paths``: path prefixes
+    that the faults are limited to.  ``delay_from``: seconds added by
+    source address.  ``slow``: factor on processing time.  ``stale``:
+    share of reads answered with the value before the last write.
 
     Faults of streams, each a share, injected in the middle of a stream:
     ``break_``: the connection is closed.  ``skip``: a token is omitted.
-    ``repeat``: the previous token is sent again.  ``no_finish``: the
-    stream ends early without its finish line.  ``wrong_finish``: it ends
+    ``repeat``: a line with the previous offset is inserted.  ``no_finish``:
+    the stream ends early without its finish line.  ``wrong_finish``: it ends
     early, with a finish line for the full length.  ``stray``: a line of
-    another attempt is inserted.  ``garble``: a line that is not valid
-    JSON.
+    another attempt is inserted.  ``garble``: a line is replaced by
+    invalid JSON.
     """
 
     delay_s: typing.NotRequired[float]
--- a/standins/instances.py
+++ b/standins/instances.py
@@ -11,7 +11,7 @@
 
 
 class LaggingList:
-    """Makes each change visible only after a lag.
+    """Instance list that shows each change only after a lag.
 
     Parameters
     ----------
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -8,9 +8,10 @@
 
 
 class ObjectStore:
-    """Named blobs.
+    """Stores objects of bytes by name.
 
-    The fault ``stale`` (a share of reads) answers with the previous version.
+    The fault ``stale`` (a share of reads) answers with the value before the
+    last overwrite, or with status 404 if there was none.
     """
 
     def __init__(self, *, faults):
--- a/standins/orders.py
+++ b/standins/orders.py
@@ -76,7 +76,7 @@
         return web.json_response(self._state())
 
     async def order(self, http):
-        """Apply an order; an outdated one is refused only if checked."""
+        """Apply an order; refuse an outdated one if fences are checked."""
         body = await http.json()
         stale = body["fence"] < self._fence
         self.counters["stale_orders"] += stale
--- a/standins/platformstore.py
+++ b/standins/platformstore.py
@@ -17,7 +17,7 @@
     Parameters
     ----------
     status : int or None
-        Status that replaces the status of every answer.
+        Status with which every call is answered, without effect.
     silent : bool
         Whether calls hang without an answer.
     loses_answers : bool
--- a/standins/services.py
+++ b/standins/services.py
@@ -77,8 +77,8 @@
         )
 
     def _duration_of(self, payload):
-        # Lets a benchmark set the duration of each call, so that it can
-        # subtract it from the measured latency.
+        # Lets a caller set the duration of a call, so that it can subtract
+        # it from the measured latency.
         if isinstance(payload, dict) and "take_s" in payload:
             return payload["take_s"]
         return self._call_s
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -11,7 +11,7 @@
 
 
 class WeightStore:
-    """Serves model weights at a rate shared by all callers.
+    """Simulates transfers of weights at a rate shared by all callers.
 
     Parameters
     ----------
--- a/testkit/__init__.py
+++ b/testkit/__init__.py
@@ -1,1 +1,1 @@
-"""Test support: builders, daemon processes, fakes and a faulty proxy."""
+"""Test support: builders, fakes, simulations, daemons and a proxy."""
--- a/testkit/ballots.py
+++ b/testkit/ballots.py
@@ -1,4 +1,7 @@
-"""Ballot requests through real daemons, for tests and benchmarks."""
+"""Sends ballots through real daemons, for tests and benchmarks.
+
+A ballot is a request to a pipeline with a stage that is not repeatable.
+"""
 
 import asyncio
 import contextlib
@@ -45,12 +48,13 @@
     team="gaucho",
     repeat=None,
 ):
-    """Cast a ballot through a daemon.
+    """Send a ballot through a daemon.
 
     Parameters
     ----------
     repeat : bool, optional
-        Whether the caller declares an earlier request with the key.
+        Value of the ``Idempotency-Repeat`` header: whether the caller
+        declares an earlier request with the key.  No header if None.
     """
     address = cluster.daemons[index].public
     headers = {
@@ -79,7 +83,7 @@
 
 
 async def log(cluster, key=None):
-    """Return the executions that the endpoints logged, by key or all."""
+    """Return the executions that the endpoints logged, of one key or all."""
     runs = []
     for name in BALLOTS:
         runs += await cluster.get(name, "/log")
@@ -138,7 +142,7 @@
 
 
 async def open_breakers(cluster):
-    """Cast other ballots until each instance treats the store as down."""
+    """Send other ballots until each daemon treats the store as down."""
     for index in range(len(cluster.daemons)):
         async with asyncio.timeout(POLL_TIMEOUT_S):
             result = None
@@ -148,7 +152,7 @@
 
 @contextlib.asynccontextmanager
 async def stand_ins_stopped(cluster, seconds):
-    """Suspend the process of all stand-ins; it resumes before the block ends.
+    """Suspend the process of all stand-ins; wait at the end until it resumes.
 
     Parameters
     ----------
--- a/testkit/builders.py
+++ b/testkit/builders.py
@@ -59,7 +59,7 @@
 
 
 def note(base, *, author="ana", **parts):
-    """Return a release note with a unique id."""
+    """Return a release note with a unique id for the version `base`."""
     number = next(_numbers)
     return {"id": f"note-{number}", "base": base, "author": author, **parts}
 
--- a/testkit/fakes.py
+++ b/testkit/fakes.py
@@ -22,7 +22,7 @@
 
 
 class Client:
-    """Answers calls from a script; ``...`` waits for the timeout.
+    """Answers calls from a script; ``...`` stands for a timeout.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
 
 
 class Router:
-    """Chooses the first endpoint that is not to be avoided."""
+    """Chooses the first endpoint not in `avoid`, or the first if all are."""
 
     def __init__(self, *, names):
         self._config = builders.config(
@@ -136,7 +136,13 @@
 
 
 def chunks(first, last, *, finish=None):
-    """Return chunks for tokens `first` to `last - 1`, then the finish."""
+    """Return chunks for tokens `first` to `last - 1`.
+
+    Parameters
+    ----------
+    finish : int, optional
+        Offset of a final chunk that ends the stream.
+    """
     result = [
         endpoints.Chunk(number, f"{number} ") for number in range(first, last)
     ]
--- a/testkit/gateways.py
+++ b/testkit/gateways.py
@@ -49,7 +49,7 @@
 
     @property
     def control(self):
-        """Address for other instances."""
+        """Address for other instances and operators."""
         return self.document["control"]
 
     def write_settings(self):
@@ -126,7 +126,9 @@
 
 @contextlib.asynccontextmanager
 async def gateways(folder, documents):
-    """Run gateway daemons; kill them at the end of the block.
+    """Start gateway daemons; kill them at the end of the block.
+
+    Does not wait until they are ready.
 
     Parameters
     ----------
--- a/testkit/proc.py
+++ b/testkit/proc.py
@@ -10,7 +10,7 @@
 
 
 class Usage(typing.NamedTuple):
-    """CPU seconds since the start of a process, and resident bytes."""
+    """CPU seconds of the current threads of a process, and resident bytes."""
 
     seconds: float
     resident: int
@@ -36,6 +36,6 @@
 
 
 def fields(root):
-    """Return the fields of `/proc/PID/stat` from the third on."""
+    """Return the fields of ``stat`` in `root`, `/proc/PID`, from the third."""
     # The second field, the command name, may contain spaces.
     return (root / "stat").read_text().rpartition(")")[2].split()
--- a/testkit/processes.py
+++ b/testkit/processes.py
@@ -62,7 +62,7 @@
 
 
 class Daemon:
-    """One entry instance as a real process.
+    """One daemon as a real process.
 
     Parameters
     ----------
@@ -173,7 +173,7 @@
     host : asyncio.subprocess.Process
         Process that hosts the stand-ins.
     proxies : dict of str to Proxy
-        Proxies by name of their stand-in or daemon; empty unless enabled.
+        Proxies by name of their stand-in or daemon, if `proxied`.
     """
 
     addresses: dict
@@ -286,7 +286,8 @@
     daemons : int
         Number of daemons; ignored if `zones` is given.
     specs : list of dict, optional
-        Stand-ins in addition to those of the platform.
+        Stand-ins in addition to those of the platform; `endpoint_specs()`
+        by default.
     zones : list of str, optional
         Zone of each daemon; the region is the part before the dash.
     proxied : bool
@@ -337,7 +338,7 @@
 
 async def _settings_documents(running, dial_addresses, zones, ports, changes):
     documents = []
-    # Each cluster uses a separate network.  Daemons connect from their
+    # Each cluster uses a random loopback network.  Daemons connect from their
     # own addresses, so a connection of another cluster could otherwise
     # occupy a port that is assigned to a daemon and not bound yet.
     network = f"127.{random.randrange(1, 255)}.{random.randrange(1, 255)}"
--- a/testkit/proxy.py
+++ b/testkit/proxy.py
@@ -29,7 +29,7 @@
     delay_s : float
         Delay before each chunk, in both directions.
     refuse : bool
-        Close new and open connections at once.
+        Close new connections at once, and open ones at their next chunk.
     freeze : bool
         Keep connections open and forward nothing.
     hold_answers : bool
@@ -38,7 +38,7 @@
         Source addresses to which `hold_answers` applies.
     lose_answers : int
         Number of next answers to drop, closing their connections after
-        the request was forwarded; -1 for all.
+        the request was forwarded; negative for all.
     blocked : set of str
         Source addresses to which `freeze` applies.
     bytes_in, bytes_out : int
--- a/testkit/relayzone.py
+++ b/testkit/relayzone.py
@@ -24,7 +24,10 @@
 
 
 class Store:
-    """Three tables; can refuse or ignore the calls of single instances."""
+    """Three tables; rejects or never answers calls of some instances.
+
+    ``refuses`` and ``ignores`` hold the names of these instances.
+    """
 
     def __init__(self):
         self._rows = {table: {} for table in TABLES}
@@ -164,7 +167,7 @@
 
     @property
     def version(self):
-        """The number that the row holds."""
+        """Version number, the content of the row."""
         return int(self.raw)
 
 
@@ -247,7 +250,7 @@
         """Write a configuration; return when each instance receives it.
 
         Returns the delays in seconds by instance, without instances that are
-        unresponsive or ignored by the store.
+        unresponsive, ignored by the store, or later than ``3 * apply_s``.
         """
         started_at = self.clock()
         raw = str(version).encode()
--- a/testkit/stagezone.py
+++ b/testkit/stagezone.py
@@ -2,7 +2,7 @@
 
 Coordinator, scheduler and batchers are those of the product.  The simulated
 endpoints process one call at a time, store results in limited memory, and
-reject pieces whose results do not fit.
+reject pieces that are late or whose results do not fit.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
     Parameters
     ----------
     kind : str
-        As the load names it.
+        Kind of the job in the load.
     arrived_at, ended_at : float
         Simulated seconds.
     is_done : bool
@@ -59,7 +59,7 @@
 
 
 class _Codec:
-    """Encodes calls of endpoints as plain values."""
+    """Passes calls and results as Python objects, without encoding."""
 
     @staticmethod
     def piece_call(items, *, endpoint, now):
@@ -165,7 +165,7 @@
     async def send(
         self, _method, address, _path, _headers, body, *, timeout_s
     ):
-        """Answer a call with pieces."""
+        """Answer a call that runs pieces."""
         return _Response(await self.endpoints[address].process(body))
 
     async def post_idempotent(
@@ -212,7 +212,8 @@
     load : iterable of (float, str, Job)
         Time of arrival, kind and job; in order of time.
     fetch_s : float
-        How long an engine takes until the results can be freed.
+        Seconds from the end of a job until an engine has fetched the
+        results, so that they can be freed.
     """
     clock = asyncio.get_running_loop().time
 
--- a/testkit/tests/test_proxy.py
+++ b/testkit/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy injects its faults; tests that rely on them depend on this."""
+"""The proxy injects its faults, on which other tests rely."""
 
 import asyncio
 import contextlib
--- a/testkit/virtualtime.py
+++ b/testkit/virtualtime.py
@@ -7,7 +7,7 @@
 
 
 class _Selector(selectors.DefaultSelector):
-    """Never waits; reports the time it would have waited to `advance`."""
+    """Never waits; calls `advance` with the time it would have waited."""
 
     advance = None
 
--- a/testkit/wiredata.py
+++ b/testkit/wiredata.py
@@ -1,4 +1,4 @@
-"""Builders of the documents that operators and endpoints write."""
+"""Builders of gateway documents, heartbeat records and request headers."""
 
 __all__ = [
     "beat",
@@ -115,7 +115,14 @@
 
 
 def head(request_id="r-1", **changes):
-    """Return the headers of a caller's request."""
+    """Return the headers of a caller's request.
+
+    Parameters
+    ----------
+    **changes
+        ``X-Sycamoreshed-`` headers by the rest of their names, with
+        underscores for dashes.
+    """
     headers = {
         "Host": "pages.example",
         "X-Sycamoreshed-Request-Id": request_id,
