--- a/testkit/processes.py
+++ b/testkit/processes.py
@@ -173,7 +173,8 @@
     host : asyncio.subprocess.Process
         Process that hosts the stand-ins.
     proxies : dict of str to Proxy
-        Proxies by name of their stand-in or daemon, if `proxied`.
+        Proxies by name of their stand-in or daemon; empty unless the
+        cluster runs with `proxied`.
     """
 
     addresses: dict
@@ -338,9 +339,10 @@
 
 async def _settings_documents(running, dial_addresses, zones, ports, changes):
     documents = []
-    # Each cluster uses a random loopback network.  Daemons connect from their
-    # own addresses, so a connection of another cluster could otherwise
-    # occupy a port that is assigned to a daemon and not bound yet.
+    # Each cluster uses a random loopback network.  Daemons connect from
+    # their own addresses, so a connection of another cluster could
+    # otherwise occupy a port that a daemon was assigned and has not bound
+    # yet.
     network = f"127.{random.randrange(1, 255)}.{random.randrange(1, 255)}"
     for index, zone in enumerate(zones):
         # Separate addresses let proxies distinguish the daemons.
