--- a/bench/ballots.py
+++ b/bench/ballots.py
@@ -1,4 +1,4 @@
-"""Measurements of non-repeatable requests, and long random runs.
+"""Measurements of non-repeatable requests (ballots) and random fault runs.
 
 ``python -m bench.ballots cost``, ``outage``, ``rate`` or ``random``.
 """
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -1,8 +1,8 @@
 """Random ballots under injected faults, and a check of their history.
 
 A seed determines the actions, but not their timing.  Faults change after
-a number of started ballots, not after a time, so that a slow machine is
-exposed to as many.
+a number of started ballots, not after a time, so that a run has as many
+faults on a slow machine.
 """
 
 import asyncio
@@ -305,7 +305,8 @@
     ----------
     history : list of Observation
     runs : list of dict
-        Each run that an endpoint logged: ``key``, ``request``, ``attempt``.
+        Each run that an endpoint logged: ``key``, ``request``, ``attempt``
+        and ``at``, its wall-clock time.
 
     Returns
     -------
@@ -352,7 +353,7 @@
 
 
 def _check_not_run(history, run):
-    """Return each "not run" answer for a key after a request with it ran.
+    """Return violations: "not run" answers in turns after the one that ran.
 
     Notes
     -----
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -36,17 +36,18 @@
     ----------
     name : str
     zones : list of str
-        All availability zones; a region is the part before the dash.
+        All availability zones; the part before the last dash is the
+        region.
     sections : dict
         The configuration, without endpoints.
     specs : list of dict
         Stand-ins of endpoints, with ``service`` and ``zone``.
     shares : dict of str to float
-        Each team's share of the traffic; also its weight.
+        Each team's share of the traffic; also its configured weight.
     mix : dict of str to float
         Share of each pipeline in the traffic.
     tariff : dict
-        For the settings.
+        Value of the daemons' setting ``tariff``, without the hour.
     """
 
     name: str
@@ -64,7 +65,7 @@
 
 
 def capacity(deployment):
-    """Return the request rate of all pipelines that the engines can serve."""
+    """Return the request rate of all pipelines at which engines are full."""
     engines = [spec for spec in deployment.specs if spec["kind"] == "engine"]
     seconds = ENGINE["prefill_s"] + ENGINE["tokens"] * ENGINE["token_s"]
     return len(engines) * ENGINE["slots"] / seconds / SUMMARY_SHARE
@@ -150,7 +151,7 @@
 
 @DEPLOYMENTS.register("cineclubes")
 def cineclubes():
-    """Return the deployment of the cineclubes."""
+    """Return the deployment with nine engines, one in each zone."""
     return _build(
         name="cineclubes",
         regions=["porto-alegre", "florianopolis", "curitiba"],
@@ -171,7 +172,7 @@
 
 @DEPLOYMENTS.register("tidewater")
 def tidewater():
-    """Return the deployment of Tidewater."""
+    """Return the deployment with five engines, in five of nine zones."""
     return _build(
         name="tidewater",
         regions=["north", "south", "east"],
--- a/bench/load.py
+++ b/bench/load.py
@@ -26,7 +26,8 @@
     seconds : float
         From when it was due to the end of its answer.
     first_s : float or None
-        From when it was due to the first token.
+        From when it was due to the first chunk of the answer; None unless
+        it was streamed and completed.
     lag_s : float
         Delay of the generator in sending it.
     attained : bool
@@ -51,7 +52,7 @@
     world : World
     arrivals : list of Arrival
     seed : int
-        Seed of the balancer's choices.
+        Seed of the random choice of a daemon for each arrival.
 
     Returns
     -------
@@ -110,7 +111,7 @@
 
 
 async def _read(answer):
-    """Return the outcome and the time of the first token, or None."""
+    """Return the outcome, and a completed stream's first chunk time."""
     if answer.content_type != "text/event-stream":
         raw = await answer.read()
         if answer.status == 200:
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -1,8 +1,9 @@
 """Measures orders to engines: ``python -m bench.orders PART``.
 
-Parts: ``takeover`` (after the lease holder is killed), ``note`` (from a
-note to the last engine that has applied it), ``store`` (the load of the
-lease on the table service, and of settled engines on the holder).
+Parts: ``takeover`` (time until another instance holds the lease after its
+holder is killed), ``note`` (time from a note until the holder has read its
+state from the last engine), ``store`` (reads and writes of the lease on the
+table service, and the holder's cost of engines without changes).
 """
 
 import asyncio
@@ -19,7 +20,7 @@
 
 ZONE = "north-a"
 # Short lease and order times, so that twenty runs take minutes; the
-# figures state them.
+# results of ``takeover`` state them.
 FAST = {"lease_s": 1.6, "lease_margin_s": 0.3, "order_longest_s": 1.0}
 POLL_S = 0.01
 RUNS = 20
@@ -56,7 +57,7 @@
 
 
 async def _until_loaded(cluster, count, wanted):
-    """Wait until the holder has read the wanted state from all engines."""
+    """Wait until the holder has read the wanted state from `count` engines."""
     index = await _holder(cluster, range(len(cluster.daemons)))
     while True:
         engines = (await _status(cluster, index))["engines"].values()
@@ -150,7 +151,7 @@
 
 
 async def _store(daemons, engines):
-    """Return the costs per second of the holder and of the others."""
+    """Return costs per second of the holder and of the other instances."""
     async with processes.cluster(
         daemons=daemons, specs=_engines(engines)
     ) as cluster:
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -22,8 +22,9 @@
 __all__ = ["main"]
 
 IN_FLIGHT = (1, 16, 64)
-# Drawn for each call: after a pause, calls of equal length would keep
-# returning together, and the run would measure their queue.
+# Drawn at random for each call: calls of equal length that a pause has
+# delayed together would keep returning together, and the run would measure
+# their queue.
 SERVICE_TIMES_S = (0.05, 0.15)
 TOKENS = 100
 TOKEN_S = 0.01
@@ -153,7 +154,7 @@
 
 
 def report(kind, in_flight, pairs, pieces):
-    """Print one line of figures, in milliseconds."""
+    """Print a line of figures; processor time is for each of `pieces`."""
     line = {
         "kind": kind,
         "in_flight": in_flight,
--- a/bench/results.py
+++ b/bench/results.py
@@ -94,9 +94,9 @@
     Returns
     -------
     float or None
-        Seconds from `since` to the first second from which at least
-        `RECOVERED_SHARE` of all requests up to the end of the run are
-        attained, and as many in that second.
+        Seconds from `since` to the first one-second interval for which at
+        least `RECOVERED_SHARE` of the requests are attained both in it and
+        from its start to the end of the run.
     """
     for second in range(int(since), int(seconds)):
         remaining = [sample for sample in samples if sample.at >= second]
@@ -115,7 +115,8 @@
     Returns
     -------
     dict
-        Seconds, calls and crossing bytes by stage; prefix hits.
+        ``stages``: seconds, calls, cross-region bytes, retries and hedges
+        by stage; ``engines``: the summed counts of the engine stand-ins.
     """
     stages = collections.defaultdict(collections.Counter)
     for daemon in world.daemons:
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -113,7 +113,7 @@
 
 
 def compare(stored):
-    """Return table rows: one per group of settings, with mean and spread.
+    """Return table rows: one per group of settings, mean ± half the range.
 
     Parameters
     ----------
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -36,10 +36,12 @@
     phases : list of Phase
     events : list of Event
     prefixes : int
+        Number of shared prompt prefixes; zero for none.
     hour : float or None
         Hour of the day passed to the daemons, for the tariff.
     calm : float or None
-        End of the disturbance, from which the time to recover counts.
+        End of the disturbance in seconds since the start, from which the
+        time to recover counts.
     """
 
     phases: list
@@ -75,7 +77,7 @@
 
 @SCENARIOS.register("overload")
 def overload(deployment, load, seconds):
-    """Constant load; `load` should be above the capacity."""
+    """Constant load; `load`, a share of the capacity, should exceed 1."""
     return Plan(_flat(deployment, load, seconds))
 
 
@@ -115,7 +117,7 @@
 
 @SCENARIOS.register("slow_engine")
 def slow_engine(deployment, load, seconds):
-    """One engine takes ten times as long, from the first second."""
+    """One engine takes ten times as long from one second after the start."""
     name = _engine(deployment)
     return Plan(
         _flat(deployment, load, seconds),
@@ -164,7 +166,7 @@
 
 @SCENARIOS.register("dawn")
 def dawn(deployment, load, seconds):
-    """The hour before dawn: load doubles after the first third."""
+    """Load doubles to `load` after the first third; the tariff hour is 4."""
     third = seconds / 3
     return Plan(
         [
@@ -177,7 +179,7 @@
 
 @SCENARIOS.register("recovery")
 def recovery(deployment, load, seconds):
-    """Three times the capacity, then `load` for the same time."""
+    """Load of three times the capacity in the first half, then `load`."""
     half = seconds / 2
     return Plan(
         [
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -159,7 +159,7 @@
 
 
 async def measure_notes(cluster, base, runs):
-    """Apply notes one by one; return seconds from first to last instance."""
+    """Apply notes one by one; return seconds from first to last log line."""
     versions = []
     for number in range(base, base + runs):
         note = builders.note(
@@ -314,7 +314,7 @@
 
 
 def slopes(results):
-    """Return the idle cost to every instance of one additional instance."""
+    """Return the growth of an instance's idle cost per additional instance."""
     growth = {}
     for key in ("bytes_per_s", "core_percent", "resident_mib"):
         points = [(item["size"], item["idle"][key]) for item in results]
--- a/bench/tests/test_results.py
+++ b/bench/tests/test_results.py
@@ -1,4 +1,4 @@
-"""Figures count from the time a request was due, not from sending."""
+"""Scenario plans, and summary and comparison of results."""
 
 from bench import arrivals
 from bench import deployments
--- a/bench/world.py
+++ b/bench/world.py
@@ -141,8 +141,9 @@
         zones = self.deployment.zones
         step = max(1, len(zones) // instances)
         documents = []
-        # A separate loopback network, so that concurrent runs cannot take
-        # each other's free port before a daemon listens on it.
+        # A loopback network by process id, so that concurrent runs with
+        # different ones cannot take each other's free port before a daemon
+        # listens on it.
         net = 2 + os.getpid() % 250
         for index in range(instances):
             zone = zones[index * step % len(zones)]
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Repository checks, run by `make lint`."""
+"""Repository tools: a check for `make lint` and a generator of a table."""
--- a/tools/eventtable.py
+++ b/tools/eventtable.py
@@ -1,4 +1,4 @@
-"""Generates the table of log events in the operators' page.
+"""Generates the table of log events in ``docs/OPERATIONS.md``.
 
 ``python -m tools.eventtable`` updates it; a test fails if it is out of date.
 """
