--- a/sycamoreshed/entry/tests/test_callers.py
+++ b/sycamoreshed/entry/tests/test_callers.py
@@ -24,7 +24,7 @@
 
 
 class FakeRunner:
-    """Fake for the runner and `Once`: ends runs with a set result."""
+    """Fake for the runner and `AtMostOnce`: ends runs with a set result."""
 
     def __init__(self, result):
         self.result = result
--- a/sycamoreshed/forwarding/placement.py
+++ b/sycamoreshed/forwarding/placement.py
@@ -25,7 +25,7 @@
 # the request body.
 OVERHEAD_BYTES = 4000
 # Cost of a round trip to another region, in bytes of stage results: as much as
-# 1 MB, whose cost in time is `staging.delegation.CROSSING_S_MB`.
+# 1 MB, whose cost in time is `staging.delegation.TRANSFER_COST_S_PER_MB`.
 REGION_TRIP_COST = 1e6
 # Cost of prefilling a token of a shared prefix again, in bytes of stage
 # results: a prefill delays all requests of the engine.
